--- a/crates/godwitspool-measure/src/policies/scaling.rs
+++ b/crates/godwitspool-measure/src/policies/scaling.rs
@@ -2,9 +2,9 @@
 
 use godwitspool_types::{Millis, Offset, RequestId, Term};
 use godwitspool_version::{
-    ClassRules, Configuration, DcRules, OrderBook, OrderId, OrderIntent, OrderOutcome, Scaling,
-    ScalingOrder, ScalingRules, ScalingView, ServiceLoad, ServiceRules, TargetAction, TargetPhase,
-    TargetSeen,
+    ClassRules, Configuration, DcRules, ObservedTarget, OrderId, OrderIntent, OrderOutcome,
+    OrderTable, Scaling, ScalingOrder, ScalingRules, ScalingView, ServiceLoad, ServiceRules,
+    TargetAction, TargetPhase,
 };
 
 use super::fleet::{Fleet, PRICES, Record, SLOTS, START, STEP};
@@ -73,7 +73,7 @@
 }
 
 struct BreakEven {
-    book: OrderBook,
+    book: OrderTable,
     configuration: Configuration,
     offset: u64,
     scaling: Scaling,
@@ -82,7 +82,7 @@
 impl Policy {
     fn break_even() -> Self {
         Self::BreakEven(Box::new(BreakEven {
-            book: OrderBook::default(),
+            book: OrderTable::default(),
             configuration: configuration(),
             offset: 0,
             scaling: Scaling::new(ScalingRules::default()),
@@ -136,10 +136,10 @@
 
 impl BreakEven {
     fn decide(&mut self, fleet: &mut Fleet) {
-        let targets = fleet.targets.iter().map(|target| TargetSeen {
+        let targets = fleet.targets.iter().map(|target| ObservedTarget {
             class: CLASSES[usize::from(target.reclaimable)].into(),
             dc: "d".into(),
-            phase: TargetPhase::Counted,
+            phase: TargetPhase::Active,
             target: target.number.to_string().into(),
         });
         let targets = targets.collect::<Vec<_>>();
--- a/crates/godwitspool-steward/src/process/operators.rs
+++ b/crates/godwitspool-steward/src/process/operators.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use godwitspool_process::{Operated, Readiness};
-use godwitspool_version::{Fold, LeaseKind, OrderBook, WindowBook};
+use godwitspool_version::{Fold, LeaseKind, OrderTable, WindowTable};
 use serde_json::{Value, json};
 
 use crate::process::shared::{Shared, lock};
@@ -93,7 +93,7 @@
     })
 }
 
-fn orders(book: &OrderBook) -> Value {
+fn orders(book: &OrderTable) -> Value {
     const SHOWN: usize = 10;
     json!({
         "open": book.open.iter().map(|open| &open.intent).collect::<Vec<_>>(),
@@ -101,7 +101,7 @@
     })
 }
 
-fn windows(book: &WindowBook) -> Value {
+fn windows(book: &WindowTable) -> Value {
     let window = |(window, state): (&u64, &godwitspool_version::WindowState)| {
         let phase = match (&state.frozen, state.reported) {
             (_, true) => "reported",
--- a/crates/godwitspool-steward/src/version/orders.rs
+++ b/crates/godwitspool-steward/src/version/orders.rs
@@ -10,9 +10,9 @@
 use godwitspool_process::Tick;
 use godwitspool_types::{Dc, HostName, Millis, RequestId, Term};
 use godwitspool_version::{
-    Configuration, LeaseKind, OrderBook, OrderDesk, OrderId, OrderIntent, OrderOutcome, OrderStep,
-    OrderTimes, RecordBody, Scaling, ScalingRules, ScalingView, ServiceLoad, TargetAction,
-    TargetPhase, TargetSeen,
+    Configuration, LeaseKind, ObservedTarget, OrderDispatcher, OrderId, OrderIntent, OrderOutcome,
+    OrderStep, OrderTable, OrderTimes, RecordBody, Scaling, ScalingRules, ScalingView, ServiceLoad,
+    TargetAction, TargetPhase,
 };
 
 use crate::process::shared::{Heard, Shared, lock};
@@ -29,7 +29,7 @@
         ..PlatformBounds::default()
     };
     let platform = Platform::with_bounds(shared.settings.platform.clone(), bounds);
-    let mut desk = OrderDesk::new(OrderTimes::default());
+    let mut desk = OrderDispatcher::new(OrderTimes::default());
     let mut scaling = Scaling::new(ScalingRules::default());
     let mut passed = Millis::ZERO;
     while let Ok(Tick { now }) = ticks.recv() {
@@ -60,7 +60,7 @@
     shared: &Shared,
     scaling: &mut Scaling,
     configuration: &Configuration,
-    book: &OrderBook,
+    book: &OrderTable,
     now: Millis,
 ) {
     let loads = loads(shared, now);
@@ -139,12 +139,12 @@
     }
 }
 
-fn seen(entry: &TargetEntry) -> TargetSeen {
-    TargetSeen {
+fn seen(entry: &TargetEntry) -> ObservedTarget {
+    ObservedTarget {
         class: entry.class.clone(),
         dc: entry.dc.clone(),
         phase: match entry.state {
-            TargetState::Live | TargetState::Starting => TargetPhase::Counted,
+            TargetState::Live | TargetState::Starting => TargetPhase::Active,
             TargetState::Leaving => TargetPhase::Leaving,
             TargetState::Reclaimed => TargetPhase::Reclaimed,
         },
--- a/crates/godwitspool-steward/src/version/usage.rs
+++ b/crates/godwitspool-steward/src/version/usage.rs
@@ -13,8 +13,8 @@
 use godwitspool_process::Tick;
 use godwitspool_types::{Dc, HostName, Incarnation, Millis};
 use godwitspool_version::{
-    HostLife, LeaseKind, RecordBody, RequestUsage, UsageFigures, UsageStep, UsageView, WindowBook,
-    WindowFrozen, usage_steps,
+    HostLife, LeaseKind, RecordBody, RequestUsage, UsageFigures, UsageStep, UsageView,
+    WindowFrozen, WindowTable, usage_steps,
 };
 use rapidhash::v3::rapidhash_v3;
 
@@ -115,7 +115,7 @@
 // --- Sealing
 
 /// Seals what windows are over, if this host is the one to do so for its data centre.
-fn seal(shared: &Shared, book: &WindowBook) {
+fn seal(shared: &Shared, book: &WindowTable) {
     let members = shared.gossip.members();
     let Some(current) = window(shared, GRACE) else {
         return;
@@ -181,7 +181,7 @@
 
 // --- Leading
 
-fn lead(shared: &Shared, book: &WindowBook) {
+fn lead(shared: &Shared, book: &WindowTable) {
     let Some(term) = shared.leases.may_act(LeaseKind::Usage) else {
         return;
     };
--- a/crates/godwitspool-version/src/awaited_targets.rs
+++ b/crates/godwitspool-version/src/awaited_targets.rs
@@ -4,7 +4,7 @@
 
 use godwitspool_types::{ClassName, Dc, Millis, TargetName};
 
-use crate::{OrderIntent, TargetAction, TargetPhase, TargetSeen};
+use crate::{ObservedTarget, OrderIntent, TargetAction, TargetPhase};
 
 /// Targets that were started or stopped a short while ago.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
             class: intent.class.clone(),
             dc: intent.dc.clone(),
             phase: match intent.action {
-                TargetAction::Start(_) => TargetPhase::Counted,
+                TargetAction::Start(_) => TargetPhase::Active,
                 TargetAction::Stop(_) => TargetPhase::Leaving,
             },
             until,
@@ -36,7 +36,11 @@
     }
 
     /// Returns the targets as the platform's list will show them once it has caught up.
-    pub(crate) fn expected(&mut self, listed: &[TargetSeen], now: Millis) -> Vec<TargetSeen> {
+    pub(crate) fn expected(
+        &mut self,
+        listed: &[ObservedTarget],
+        now: Millis,
+    ) -> Vec<ObservedTarget> {
         self.0.retain(|name, awaited| {
             let shown = listed.iter().find(|seen| seen.target == *name);
             now < awaited.until && !awaited.is_shown(shown)
@@ -44,7 +48,7 @@
         let unchanged = listed
             .iter()
             .filter(|seen| !self.0.contains_key(&seen.target));
-        let awaited = self.0.iter().map(|(name, awaited)| TargetSeen {
+        let awaited = self.0.iter().map(|(name, awaited)| ObservedTarget {
             class: awaited.class.clone(),
             dc: awaited.dc.clone(),
             phase: awaited.phase,
@@ -55,11 +59,11 @@
 }
 
 impl Awaited {
-    fn is_shown(&self, shown: Option<&TargetSeen>) -> bool {
+    fn is_shown(&self, shown: Option<&ObservedTarget>) -> bool {
         match self.phase {
-            TargetPhase::Counted => shown.is_some(),
+            TargetPhase::Active => shown.is_some(),
             TargetPhase::Leaving | TargetPhase::Reclaimed => {
-                shown.is_none_or(|seen| seen.phase != TargetPhase::Counted)
+                shown.is_none_or(|seen| seen.phase != TargetPhase::Active)
             }
         }
     }
--- a/crates/godwitspool-version/src/fold.rs
+++ b/crates/godwitspool-version/src/fold.rs
@@ -10,8 +10,8 @@
 use snafu::Snafu;
 
 use crate::{
-    Configuration, KeyRule, Lease, LeaseKind, LeaseRecord, OrderBook, Publish, Record, RecordBody,
-    RecordId, WeightsTarget, WindowBook,
+    Configuration, KeyRule, Lease, LeaseKind, LeaseRecord, OrderTable, Publish, Record, RecordBody,
+    RecordId, WeightsTarget, WindowTable,
 };
 
 const MAX_OUTCOMES: usize = 1_024;
@@ -39,13 +39,13 @@
     issued: BTreeMap<Workspace, BTreeSet<KeyDigest>>,
     leases: BTreeMap<LeaseKind, Lease>,
     next: Offset,
-    orders: OrderBook,
+    orders: OrderTable,
     outcomes: VecDeque<RecordOutcome>,
     published: Option<Offset>,
     quarantine: BTreeMap<u64, Vec<TargetName>>,
     snapshot: Option<Offset>,
     weights: BTreeMap<ModelName, WeightVersion>,
-    windows: WindowBook,
+    windows: WindowTable,
     withdrawn: BTreeSet<KeyDigest>,
 }
 
@@ -342,7 +342,7 @@
     }
 
     /// Returns the target orders.
-    pub fn orders(&self) -> &OrderBook {
+    pub fn orders(&self) -> &OrderTable {
         &self.orders
     }
 
@@ -376,7 +376,7 @@
     }
 
     /// Returns the usage windows.
-    pub fn windows(&self) -> &WindowBook {
+    pub fn windows(&self) -> &WindowTable {
         &self.windows
     }
 
--- a/crates/godwitspool-version/src/lib.rs
+++ b/crates/godwitspool-version/src/lib.rs
@@ -9,8 +9,8 @@
 //! | [`Record`] | one record of the log |
 //! | [`Fold`] | what the records up to an offset have put in force |
 //! | [`LeaseCandidate`] | what one host does to get, keep and use a lease |
-//! | [`OrderBook`], [`WindowBook`] | target orders and usage windows as folded |
-//! | [`Scaling`], [`OrderDesk`] | which orders to give, and when to send them |
+//! | [`OrderTable`], [`WindowTable`] | target orders and usage windows as folded |
+//! | [`Scaling`], [`OrderDispatcher`] | which orders to give, and when to send them |
 //! | [`HeldUsage`], [`usage_steps`] | usage on its way into windows and reports |
 //! | [`SnapshotParts`], [`SnapshotCadence`] | snapshots read and written |
 //! | [`AppendBudget`] | what each stream of records may append |
@@ -23,15 +23,15 @@
 mod coverage;
 mod fold;
 mod lease;
-mod order_book;
-mod order_desk;
+mod order_dispatch;
+mod order_table;
 mod record;
 mod scaling;
 mod scaling_rules;
 mod scaling_view;
 mod snapshot;
-mod usage_desk;
-mod window_book;
+mod usage;
+mod window_table;
 
 pub use append_budget::{AppendBudget, AppendCounts, Stream, StreamRate};
 pub use candidate::{LeaseAction, LeaseCandidate, LeaseEvent, LeaseRules};
@@ -43,8 +43,8 @@
 pub use coverage::Coverage;
 pub use fold::{Change, Fold, FoldCounts, FoldError, RecordOutcome};
 pub use lease::{Lease, LeaseHolder};
-pub use order_book::{ClosedOrder, OpenOrder, OrderBook};
-pub use order_desk::{OrderDesk, OrderStep, OrderTimes};
+pub use order_dispatch::{OrderDispatcher, OrderStep, OrderTimes};
+pub use order_table::{ClosedOrder, OpenOrder, OrderTable};
 pub use record::{
     DecodeError, HostLife, LeaseKind, LeaseRecord, LeaseStep, OrderId, OrderIntent, OrderOutcome,
     OrderReason, Publish, Record, RecordBody, RecordId, SnapshotPart, TargetAction, UsageFigures,
@@ -52,9 +52,9 @@
 };
 pub use scaling::{Scaling, ScalingOrder};
 pub use scaling_rules::ScalingRules;
-pub use scaling_view::{ScalingView, ServiceLoad, TargetPhase, TargetSeen};
+pub use scaling_view::{ObservedTarget, ScalingView, ServiceLoad, TargetPhase};
 pub use snapshot::{
     SnapshotCadence, SnapshotError, SnapshotParts, SnapshotPosition, snapshot_records,
 };
-pub use usage_desk::{HeldUsage, RequestUsage, UsageStep, UsageView, usage_steps};
-pub use window_book::{SealedFigures, WindowBook, WindowState, sum_figures};
+pub use usage::{HeldUsage, RequestUsage, UsageStep, UsageView, usage_steps};
+pub use window_table::{SealedFigures, WindowState, WindowTable, sum_figures};
--- a/crates/godwitspool-version/src/order_desk.rs
+++ b/crates/godwitspool-version/src/order_dispatch.rs
@@ -4,7 +4,7 @@
 
 use godwitspool_types::{Millis, Term};
 
-use crate::{OpenOrder, OrderBook, OrderId, OrderIntent, TargetAction};
+use crate::{OpenOrder, OrderId, OrderIntent, OrderTable, TargetAction};
 
 /// Times of target orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -44,13 +44,13 @@
 ///
 /// ```
 /// use godwitspool_types::{Millis, Term};
-/// use godwitspool_version::{OrderBook, OrderDesk, OrderTimes};
+/// use godwitspool_version::{OrderTable, OrderDispatcher, OrderTimes};
 ///
-/// let mut desk = OrderDesk::new(OrderTimes::default());
-/// assert!(desk.decide(&OrderBook::default(), Some(Term(3)), Millis(0)).is_empty());
+/// let mut desk = OrderDispatcher::new(OrderTimes::default());
+/// assert!(desk.decide(&OrderTable::default(), Some(Term(3)), Millis(0)).is_empty());
 /// ```
 #[derive(Clone, Debug)]
-pub struct OrderDesk {
+pub struct OrderDispatcher {
     orders: BTreeMap<OrderId, Attempt>,
     times: OrderTimes,
 }
@@ -61,7 +61,7 @@
     sent: Option<Millis>,
 }
 
-impl OrderDesk {
+impl OrderDispatcher {
     /// Makes a desk that has seen no order.
     pub fn new(times: OrderTimes) -> Self {
         Self {
@@ -71,7 +71,7 @@
     }
 
     /// Takes note of the open orders and, if the host is in charge, says what to do about them.
-    pub fn decide(&mut self, book: &OrderBook, term: Option<Term>, now: Millis) -> Vec<OrderStep> {
+    pub fn decide(&mut self, book: &OrderTable, term: Option<Term>, now: Millis) -> Vec<OrderStep> {
         self.orders
             .retain(|order, _| book.open.iter().any(|open| open.intent.order == *order));
         for open in &book.open {
--- a/crates/godwitspool-version/src/order_book.rs
+++ b/crates/godwitspool-version/src/order_table.rs
@@ -11,7 +11,7 @@
 
 /// Orders that were begun, as folded from the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct OrderBook {
+pub struct OrderTable {
     /// The latest orders that ended, oldest first.
     pub closed: VecDeque<ClosedOrder>,
     /// Orders without an outcome.
@@ -38,7 +38,7 @@
     pub outcome: OrderOutcome,
 }
 
-impl OrderBook {
+impl OrderTable {
     /// Opens an order and tells whether that counts: only under the term of the current holder, and
     /// only once for each identity.
     pub fn open(&mut self, offset: Offset, intent: &OrderIntent, holder: Option<Term>) -> bool {
@@ -73,9 +73,9 @@
     ///
     /// ```
     /// use godwitspool_types::Term;
-    /// use godwitspool_version::OrderBook;
+    /// use godwitspool_version::OrderTable;
     ///
-    /// assert_eq!(OrderBook::default().open_under(Term(3)), 0);
+    /// assert_eq!(OrderTable::default().open_under(Term(3)), 0);
     /// ```
     pub fn open_under(&self, term: Term) -> usize {
         self.open
--- a/crates/godwitspool-version/src/scaling.rs
+++ b/crates/godwitspool-version/src/scaling.rs
@@ -13,7 +13,7 @@
 
 use self::service_memory::ServiceMemory;
 use crate::{
-    ClassRules, OrderBook, OrderOutcome, OrderReason, ScalingRules, ScalingView, TargetAction,
+    ClassRules, OrderOutcome, OrderReason, OrderTable, ScalingRules, ScalingView, TargetAction,
     TargetPhase,
     awaited_targets::AwaitedTargets,
     scaling_view::{
@@ -42,7 +42,7 @@
 /// ```
 /// use godwitspool_types::Millis;
 /// use godwitspool_version::{
-///     ClassRules, Configuration, DcRules, OrderBook, OrderReason, Scaling, ScalingRules,
+///     ClassRules, Configuration, DcRules, OrderTable, OrderReason, Scaling, ScalingRules,
 ///     ScalingView,
 /// };
 ///
@@ -57,7 +57,7 @@
 /// let view = ScalingView {
 ///     configuration: &configuration,
 ///     loads: &[],
-///     orders: &OrderBook::default(),
+///     orders: &OrderTable::default(),
 ///     targets: &[],
 /// };
 /// let orders = Scaling::new(ScalingRules::default()).decide(view, Millis(0));
@@ -139,7 +139,7 @@
 
     // --- Memory
 
-    fn note_outcomes(&mut self, book: &OrderBook, now: Millis) {
+    fn note_outcomes(&mut self, book: &OrderTable, now: Millis) {
         let rules = self.rules;
         for closed in book
             .closed
@@ -185,7 +185,7 @@
         orders: &mut Vec<ScalingOrder>,
     ) {
         for class in view.configuration.classes.keys() {
-            let counted = count(view, dc, class, TargetPhase::Counted) + starting(view, dc, class);
+            let counted = count(view, dc, class, TargetPhase::Active) + starting(view, dc, class);
             let (floor, ceiling) = bounds(view, dc, class);
             if counted < floor {
                 let action = TargetAction::Start(floor - counted);
@@ -306,7 +306,7 @@
         let interactive = spare.needed.div_ceil(spare.slots);
         let kept = kept_capacity(view, spare.dc, spare.service).saturating_sub(interactive);
         let surplus = |class: &ClassName, rules: &ClassRules| {
-            let counted = count(view, spare.dc, class, TargetPhase::Counted);
+            let counted = count(view, spare.dc, class, TargetPhase::Active);
             let above = counted.saturating_sub(bounds(view, spare.dc, class).0);
             above.min(if rules.reclaimable {
                 idle
--- a/crates/godwitspool-version/src/scaling_view.rs
+++ b/crates/godwitspool-version/src/scaling_view.rs
@@ -2,11 +2,11 @@
 
 use godwitspool_types::{ClassName, Dc, ServiceName, TargetName};
 
-use crate::{ClassRules, Configuration, OrderBook, TargetAction};
+use crate::{ClassRules, Configuration, OrderTable, TargetAction};
 
 /// A target as the policy sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct TargetSeen {
+pub struct ObservedTarget {
     /// Class.
     pub class: ClassName,
     /// Data centre.
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetPhase {
     /// Serves or is about to.
-    Counted,
+    Active,
     /// Ends, or is being drained.
     Leaving,
     /// Is taken away by the platform.
@@ -49,9 +49,9 @@
     /// Work.
     pub loads: &'a [ServiceLoad],
     /// Orders of this and earlier holders.
-    pub orders: &'a OrderBook,
+    pub orders: &'a OrderTable,
     /// Targets.
-    pub targets: &'a [TargetSeen],
+    pub targets: &'a [ObservedTarget],
 }
 
 // ---
@@ -74,7 +74,7 @@
 }
 
 pub(crate) fn room(view: ScalingView<'_>, dc: &Dc, class: &ClassName) -> u32 {
-    let counted = count(view, dc, class, TargetPhase::Counted) + starting(view, dc, class);
+    let counted = count(view, dc, class, TargetPhase::Active) + starting(view, dc, class);
     bounds(view, dc, class).1.saturating_sub(counted)
 }
 
@@ -89,7 +89,7 @@
     let has_kept = has_kept(view, service);
     classes_of(view, service)
         .filter(|(_, rules)| !has_kept || !rules.reclaimable)
-        .map(|(class, _)| count(view, dc, class, TargetPhase::Counted) + starting(view, dc, class))
+        .map(|(class, _)| count(view, dc, class, TargetPhase::Active) + starting(view, dc, class))
         .sum()
 }
 
@@ -102,7 +102,7 @@
     let classes = classes_of(view, service).filter(|(_, rules)| rules.reclaimable == reclaimable);
     let counts = classes.flat_map(|(class, _)| {
         let dcs = view.configuration.dcs.keys();
-        dcs.map(move |dc| count(view, dc, class, TargetPhase::Counted) + starting(view, dc, class))
+        dcs.map(move |dc| count(view, dc, class, TargetPhase::Active) + starting(view, dc, class))
     });
     counts.sum()
 }
@@ -110,7 +110,7 @@
 /// Counts the targets that serve a service or are about to.
 pub(crate) fn capacity(view: ScalingView<'_>, dc: &Dc, service: &ServiceName) -> u32 {
     classes_of(view, service)
-        .map(|(class, _)| count(view, dc, class, TargetPhase::Counted) + starting(view, dc, class))
+        .map(|(class, _)| count(view, dc, class, TargetPhase::Active) + starting(view, dc, class))
         .sum()
 }
 
@@ -142,9 +142,10 @@
     class: &ClassName,
     targets: u32,
 ) -> Vec<TargetName> {
-    let counted = view.targets.iter().filter(|seen| {
-        seen.dc == *dc && seen.class == *class && seen.phase == TargetPhase::Counted
-    });
+    let counted = view
+        .targets
+        .iter()
+        .filter(|seen| seen.dc == *dc && seen.class == *class && seen.phase == TargetPhase::Active);
     let names = counted.map(|seen| seen.target.clone());
     names.take(targets as usize).collect()
 }
--- a/crates/godwitspool-version/src/usage_desk.rs
+++ b/crates/godwitspool-version/src/usage.rs
@@ -5,7 +5,7 @@
 use godwitspool_types::{Dc, HostName, Millis, Term};
 
 use crate::{
-    Coverage, HostLife, UsageFigures, UsageRange, UsageSeal, WindowBook, WindowFrozen, sum_figures,
+    Coverage, HostLife, UsageFigures, UsageRange, UsageSeal, WindowFrozen, WindowTable, sum_figures,
 };
 
 /// Usage of one request.
@@ -150,7 +150,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct UsageView<'a> {
     /// Windows as folded.
-    pub book: &'a WindowBook,
+    pub book: &'a WindowTable,
     /// Window that runs now.
     pub current: u64,
     /// Data centres whose seals are waited for.
@@ -165,9 +165,9 @@
 ///
 /// ```
 /// use godwitspool_types::Term;
-/// use godwitspool_version::{UsageView, WindowBook, usage_steps};
+/// use godwitspool_version::{UsageView, WindowTable, usage_steps};
 ///
-/// let book = WindowBook::default();
+/// let book = WindowTable::default();
 /// let view = UsageView { book: &book, current: 9, dcs: &[], patience: 60 };
 /// assert!(usage_steps(view, Term(3)).is_empty());
 /// ```
--- a/crates/godwitspool-version/src/window_book.rs
+++ b/crates/godwitspool-version/src/window_table.rs
@@ -12,7 +12,7 @@
 
 /// Usage windows, as folded from the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct WindowBook {
+pub struct WindowTable {
     /// Requests that the seals have covered.
     pub coverage: Coverage,
     /// The last window that was frozen; windows are frozen in rising order.
@@ -41,7 +41,7 @@
     pub offset: Offset,
 }
 
-impl WindowBook {
+impl WindowTable {
     /// Takes in a seal and tells whether it counts: the first one of its data centre in a window
     /// that is not frozen, covering only requests that no other seal has covered.
     pub fn seal(&mut self, offset: Offset, seal: &UsageSeal) -> bool {
@@ -106,9 +106,9 @@
     /// Adds the seals of a window up, in order of workspace and service.
     ///
     /// ```
-    /// use godwitspool_version::WindowBook;
+    /// use godwitspool_version::WindowTable;
     ///
-    /// assert!(WindowBook::default().sum(3).is_empty());
+    /// assert!(WindowTable::default().sum(3).is_empty());
     /// ```
     pub fn sum(&self, window: u64) -> Vec<UsageFigures> {
         let seals = self.windows.get(&window).map(|state| &state.seals);
--- a/crates/godwitspool-version/tests/scaling.rs
+++ b/crates/godwitspool-version/tests/scaling.rs
@@ -2,9 +2,9 @@
 
 use godwitspool_types::{ClassName, Dc, Millis, Offset, RequestId, TargetName, Term};
 use godwitspool_version::{
-    ClassRules, Configuration, DcRules, OrderBook, OrderId, OrderIntent, OrderOutcome, OrderReason,
-    Scaling, ScalingOrder, ScalingRules, ScalingView, ServiceLoad, ServiceRules, TargetAction,
-    TargetPhase, TargetSeen,
+    ClassRules, Configuration, DcRules, ObservedTarget, OrderId, OrderIntent, OrderOutcome,
+    OrderReason, OrderTable, Scaling, ScalingOrder, ScalingRules, ScalingView, ServiceLoad,
+    ServiceRules, TargetAction, TargetPhase,
 };
 use rstest::rstest;
 
@@ -14,7 +14,7 @@
 
 /// A fleet that carries each order out at once.
 struct Fleet {
-    book: OrderBook,
+    book: OrderTable,
     configuration: Configuration,
     /// Set while the platform's list doesn't show what was started.
     hidden: bool,
@@ -24,7 +24,7 @@
     now: Millis,
     outcome: Option<OrderOutcome>,
     scaling: Scaling,
-    targets: Vec<TargetSeen>,
+    targets: Vec<ObservedTarget>,
 }
 
 impl Fleet {
@@ -52,7 +52,7 @@
         };
         configuration.dcs.insert("d".into(), dc);
         Self {
-            book: OrderBook::default(),
+            book: OrderTable::default(),
             configuration,
             hidden: false,
             loads: Vec::new(),
@@ -116,10 +116,10 @@
             TargetAction::Start(targets) => {
                 let names = (0..*targets).map(|index| format!("t{}-{index}", self.next).into());
                 let names = names.collect::<Vec<TargetName>>();
-                self.targets.extend(names.iter().map(|name| TargetSeen {
+                self.targets.extend(names.iter().map(|name| ObservedTarget {
                     class: order.class.clone(),
                     dc: order.dc.clone(),
-                    phase: TargetPhase::Counted,
+                    phase: TargetPhase::Active,
                     target: name.clone(),
                 }));
                 names
