--- a/crates/godwitspool-steward/src/process/steward.rs
+++ b/crates/godwitspool-steward/src/process/steward.rs
@@ -230,10 +230,10 @@
     // Two clocks, each off by the drift, over the longest wait.
     let margin = term.0 * u64::from(settings.drift_permille) * 2 / 1_000;
     LeaseRules {
-        margin: Millis(margin.max(1)),
-        order_life: Millis(term.0 / 3),
-        renewal: Millis(term.0 / RENEWALS_IN_TERM),
-        term,
+        clock_margin: Millis(margin.max(1)),
+        order_timeout: Millis(term.0 / 3),
+        renewal_interval: Millis(term.0 / RENEWALS_IN_TERM),
+        duration: term,
     }
 }
 
--- a/crates/godwitspool-steward/src/version/leases.rs
+++ b/crates/godwitspool-steward/src/version/leases.rs
@@ -35,7 +35,7 @@
             let mut candidate = LeaseCandidate::new(kind, life.clone(), rules);
             let text = format!("{}/{}/{}", kind.as_str(), life.host, life.incarnation.0);
             let rank = rapidhash_v3(text.as_bytes()) % MAX_RANK_WAIT;
-            candidate.set_rank_wait(Millis(rank));
+            candidate.set_claim_delay(Millis(rank));
             (kind, candidate)
         };
         Self {
@@ -72,7 +72,7 @@
 
     fn restart_from(&self, replica: &Replica, now: Millis) {
         for (kind, candidate) in lock(&self.candidates).iter_mut() {
-            candidate.restart_from(replica.fold().lease(*kind), now);
+            candidate.restore(replica.fold().lease(*kind), now);
         }
     }
 }
@@ -126,7 +126,7 @@
             }
             Event::Tick => {
                 // A host that doesn't read the log can't know whether it would be the next holder.
-                let ready = confirmed.is_some_and(|at| now - at < shared.leases.rules.term);
+                let ready = confirmed.is_some_and(|at| now - at < shared.leases.rules.duration);
                 carry_out(
                     shared,
                     shared.leases.decide(LeaseEvent::Tick { ready }, now),
--- a/crates/godwitspool-steward/src/version/usage.rs
+++ b/crates/godwitspool-steward/src/version/usage.rs
@@ -190,10 +190,10 @@
         return;
     };
     let view = UsageView {
-        book,
+        table: book,
         current,
         dcs: &dcs,
-        patience: PATIENCE_WINDOWS,
+        seal_wait_windows: PATIENCE_WINDOWS,
     };
     for step in usage_steps(view, term) {
         match step {
--- a/crates/godwitspool-version/src/append_budget.rs
+++ b/crates/godwitspool-version/src/append_budget.rs
@@ -74,7 +74,7 @@
 
 /// Bounds of one stream on one host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct StreamRate {
+pub struct StreamLimits {
     /// Records that may go at once after a rest.
     pub burst: u64,
     /// Records a minute.
@@ -105,7 +105,7 @@
 struct StreamQueue {
     counts: AppendCounts,
     filled: Millis,
-    rate: StreamRate,
+    rate: StreamLimits,
     /// In 60,000ths of a record, so that a millisecond at one record a minute adds one.
     tokens: u64,
     waiting: VecDeque<Record>,
@@ -127,7 +127,7 @@
 
 impl Default for AppendBudget {
     fn default() -> Self {
-        let rate = |per_minute, burst, queue| StreamRate {
+        let rate = |per_minute, burst, queue| StreamLimits {
             burst,
             per_minute,
             queue,
@@ -145,8 +145,8 @@
 
 impl AppendBudget {
     /// Makes a budget with a rate for each stream; a stream without one may not append.
-    pub fn new(rates: impl IntoIterator<Item = (Stream, StreamRate)>) -> Self {
-        let queue = |rate: StreamRate| StreamQueue {
+    pub fn new(rates: impl IntoIterator<Item = (Stream, StreamLimits)>) -> Self {
+        let queue = |rate: StreamLimits| StreamQueue {
             counts: AppendCounts::default(),
             filled: Millis::ZERO,
             rate,
--- a/crates/godwitspool-version/src/candidate.rs
+++ b/crates/godwitspool-version/src/candidate.rs
@@ -13,22 +13,22 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LeaseRules {
     /// How long others wait beyond the term, for clocks that run at different rates.
-    pub margin: Millis,
+    pub clock_margin: Millis,
     /// Longest time from the last check before an order to the order's effect.
-    pub order_life: Millis,
+    pub order_timeout: Millis,
     /// Time between renewals.
-    pub renewal: Millis,
+    pub renewal_interval: Millis,
     /// How long a claim or renewal is good for, from before it was sent.
-    pub term: Millis,
+    pub duration: Millis,
 }
 
 impl Default for LeaseRules {
     fn default() -> Self {
         Self {
-            margin: Millis(150),
-            order_life: Millis(1_000),
-            renewal: Millis(700),
-            term: Millis(2_500),
+            clock_margin: Millis(150),
+            order_timeout: Millis(1_000),
+            renewal_interval: Millis(700),
+            duration: Millis(2_500),
         }
     }
 }
@@ -90,7 +90,7 @@
 /// let [LeaseAction::Append { id, record }] = &actions[..] else { panic!("no claim") };
 /// candidate.decide(LeaseEvent::Read { id: *id, offset: Offset(9), record }, now);
 /// assert_eq!(candidate.may_act(now), None);
-/// now = now + rules.order_life + rules.margin;
+/// now = now + rules.order_timeout + rules.clock_margin;
 /// assert_eq!(candidate.may_act(now), Some(Term(9)));
 /// ```
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -101,7 +101,7 @@
     life: HostLife,
     pending: VecDeque<Pending>,
     quiet_until: Millis,
-    rank_wait: Millis,
+    claim_delay: Millis,
     read_at: Millis,
     rules: LeaseRules,
     sequence: u64,
@@ -124,7 +124,7 @@
             life,
             pending: VecDeque::new(),
             quiet_until: Millis::ZERO,
-            rank_wait: Millis::ZERO,
+            claim_delay: Millis::ZERO,
             read_at: Millis::ZERO,
             rules,
             sequence: 0,
@@ -133,15 +133,15 @@
     }
 
     /// Goes on from a lease that a snapshot gave, which counts as read now.
-    pub fn restart_from(&mut self, lease: Lease, now: Millis) {
+    pub fn restore(&mut self, lease: Lease, now: Millis) {
         self.lease = lease;
         self.read_at = now;
     }
 
     /// Sets how much longer than the first in line this candidate waits, so that not all claim at
     /// once.
-    pub fn set_rank_wait(&mut self, wait: Millis) {
-        self.rank_wait = wait;
+    pub fn set_claim_delay(&mut self, wait: Millis) {
+        self.claim_delay = wait;
     }
 
     /// Returns the lease as this host has read it.
@@ -169,9 +169,9 @@
     }
 
     /// Returns how long an order that is sent now may take at most.
-    pub fn order_life(&self, now: Millis) -> Millis {
+    pub fn order_timeout(&self, now: Millis) -> Millis {
         match self.may_act(now) {
-            Some(_) => self.rules.order_life,
+            Some(_) => self.rules.order_timeout,
             None => Millis::ZERO,
         }
     }
@@ -194,7 +194,7 @@
         self.read_at = now;
         let own = self.own_term();
         if let (Some(_), Some(sent)) = (own, sent) {
-            self.valid_until = self.valid_until.max(sent + self.rules.term);
+            self.valid_until = self.valid_until.max(sent + self.rules.duration);
         }
         match (before, own) {
             (before, Some(term)) if before != Some(term) => {
@@ -210,8 +210,8 @@
     }
 
     fn begin(&mut self, sent: Option<Millis>, now: Millis) {
-        self.valid_until = sent.map_or(Millis::ZERO, |sent| sent + self.rules.term);
-        self.quiet_until = now + self.rules.order_life + self.rules.margin;
+        self.valid_until = sent.map_or(Millis::ZERO, |sent| sent + self.rules.duration);
+        self.quiet_until = now + self.rules.order_timeout + self.rules.clock_margin;
     }
 
     fn tick(&mut self, ready: bool, now: Millis) -> Vec<LeaseAction> {
@@ -237,15 +237,15 @@
     }
 
     fn claimable_at(&self) -> Millis {
-        self.read_at + self.rules.term + self.rules.margin + self.rank_wait
+        self.read_at + self.rules.duration + self.rules.clock_margin + self.claim_delay
     }
 
     fn is_send_due(&self, now: Millis) -> bool {
         self.pending
             .back()
-            .is_none_or(|last| now >= last.sent + self.rules.renewal)
+            .is_none_or(|last| now >= last.sent + self.rules.renewal_interval)
             && (self.own_term().is_none()
-                || now + self.rules.term >= self.valid_until + self.rules.renewal)
+                || now + self.rules.duration >= self.valid_until + self.rules.renewal_interval)
     }
 
     fn append(&mut self, step: LeaseStep, now: Millis) -> LeaseAction {
--- a/crates/godwitspool-version/src/lib.rs
+++ b/crates/godwitspool-version/src/lib.rs
@@ -33,7 +33,7 @@
 mod usage;
 mod window_table;
 
-pub use append_budget::{AppendBudget, AppendCounts, Stream, StreamRate};
+pub use append_budget::{AppendBudget, AppendCounts, Stream, StreamLimits};
 pub use candidate::{LeaseAction, LeaseCandidate, LeaseEvent, LeaseRules};
 pub use change::ConfigurationChange;
 pub use configuration::{
--- a/crates/godwitspool-version/src/usage.rs
+++ b/crates/godwitspool-version/src/usage.rs
@@ -150,13 +150,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct UsageView<'a> {
     /// Windows as folded.
-    pub book: &'a WindowTable,
+    pub table: &'a WindowTable,
     /// Window that runs now.
     pub current: u64,
     /// Data centres whose seals are waited for.
     pub dcs: &'a [Dc],
     /// Windows for which a data centre's seal is waited for.
-    pub patience: u64,
+    pub seal_wait_windows: u64,
 }
 
 /// Says what to do under a term: freeze each window once all its seals are there, oldest first, and
@@ -167,36 +167,36 @@
 /// use godwitspool_types::Term;
 /// use godwitspool_version::{UsageView, WindowTable, usage_steps};
 ///
-/// let book = WindowTable::default();
-/// let view = UsageView { book: &book, current: 9, dcs: &[], patience: 60 };
+/// let table = WindowTable::default();
+/// let view = UsageView { table: &table, current: 9, dcs: &[], seal_wait_windows: 60 };
 /// assert!(usage_steps(view, Term(3)).is_empty());
 /// ```
 pub fn usage_steps(view: UsageView<'_>, term: Term) -> Vec<UsageStep> {
-    let reports = view.book.unreported().cloned().map(UsageStep::Report);
+    let reports = view.table.unreported().cloned().map(UsageStep::Report);
     reports.chain(freeze(view, term)).collect()
 }
 
 fn freeze(view: UsageView<'_>, term: Term) -> Option<UsageStep> {
-    let first = view.book.windows.keys().next().copied();
-    let window = match view.book.last_frozen {
+    let first = view.table.windows.keys().next().copied();
+    let window = match view.table.last_frozen {
         Some(last) => last + 1,
         None => first?,
     };
     if window >= view.current {
         return None;
     }
-    let is_missing = |dc: &&Dc| !view.book.is_sealed(window, dc);
+    let is_missing = |dc: &&Dc| !view.table.is_sealed(window, dc);
     let missing = view
         .dcs
         .iter()
         .filter(is_missing)
         .cloned()
         .collect::<Vec<_>>();
-    if !missing.is_empty() && view.current - window <= view.patience {
+    if !missing.is_empty() && view.current - window <= view.seal_wait_windows {
         return None;
     }
     Some(UsageStep::Freeze(WindowFrozen {
-        figures: view.book.sum(window),
+        figures: view.table.sum(window),
         missing,
         term,
         window,
--- a/crates/godwitspool-version/tests/append_budget.rs
+++ b/crates/godwitspool-version/tests/append_budget.rs
@@ -3,11 +3,11 @@
 use godwitspool_types::{Millis, Offset};
 use godwitspool_version::{
     AppendBudget, HostLife, LeaseKind, LeaseRecord, LeaseStep, Record, RecordBody, SnapshotCadence,
-    SnapshotPosition, Stream, StreamRate,
+    SnapshotPosition, Stream, StreamLimits,
 };
 use rstest::rstest;
 
-const RATE: StreamRate = StreamRate {
+const RATE: StreamLimits = StreamLimits {
     burst: 3,
     per_minute: 60,
     queue: 200,
--- a/crates/godwitspool-version/tests/lease_schedules.rs
+++ b/crates/godwitspool-version/tests/lease_schedules.rs
@@ -10,10 +10,10 @@
 /// Rates of the clocks, in thousandths: within 1% of true time.
 const RATES: [u64; PROCESSES] = [990, 995, 1_000, 1_005, 1_010];
 const RULES: LeaseRules = LeaseRules {
-    margin: Millis(65),
-    order_life: Millis(1_000),
-    renewal: Millis(750),
-    term: Millis(3_000),
+    clock_margin: Millis(65),
+    order_timeout: Millis(1_000),
+    renewal_interval: Millis(750),
+    duration: Millis(3_000),
 };
 
 #[derive(Clone, Copy, Debug)]
@@ -126,7 +126,7 @@
             self.acted += 1;
             let others = (0..PROCESSES).filter(|other| *other != process);
             clash |= others.into_iter().any(|other| self.busy[other] > self.now);
-            self.busy[process] = self.now + RULES.order_life.0;
+            self.busy[process] = self.now + RULES.order_timeout.0;
         }
         clash
     }
--- a/crates/godwitspool-version/tests/lease_search.rs
+++ b/crates/godwitspool-version/tests/lease_search.rs
@@ -22,10 +22,10 @@
 /// Clock units that pass on each process in one tick: 10% slow, right, 10% fast.
 const RATES: [u64; PROCESSES] = [9, 10, 11];
 const SAFE: LeaseRules = LeaseRules {
-    margin: Millis(5),
-    order_life: Millis(10),
-    renewal: Millis(12),
-    term: Millis(20),
+    clock_margin: Millis(5),
+    order_timeout: Millis(10),
+    renewal_interval: Millis(12),
+    duration: Millis(20),
 };
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -212,9 +212,9 @@
 }
 
 #[rstest]
-#[case::no_margin_for_clock_rates(LeaseRules { margin: Millis(0), ..SAFE }, 1)]
-#[case::orders_not_waited_out(LeaseRules { order_life: Millis(0), ..SAFE }, 2)]
-#[case::neither(LeaseRules { margin: Millis(0), order_life: Millis(0), ..SAFE }, 1)]
+#[case::no_margin_for_clock_rates(LeaseRules { clock_margin: Millis(0), ..SAFE }, 1)]
+#[case::orders_not_waited_out(LeaseRules { order_timeout: Millis(0), ..SAFE }, 2)]
+#[case::neither(LeaseRules { clock_margin: Millis(0), order_timeout: Millis(0), ..SAFE }, 1)]
 fn search_finds_unsafe_rules(#[case] rules: LeaseRules, #[case] order_ticks: u64) {
     assert!(search(rules, 3, 6, order_ticks).clash);
 }
--- a/crates/godwitspool-version/tests/usage.rs
+++ b/crates/godwitspool-version/tests/usage.rs
@@ -128,10 +128,10 @@
             return;
         };
         let view = UsageView {
-            book: fold.windows(),
+            table: fold.windows(),
             current: self.window,
             dcs: &[dc(0), dc(2)],
-            patience: 2,
+            seal_wait_windows: 2,
         };
         for step in usage_steps(view, holder.term) {
             match step {
@@ -233,10 +233,10 @@
 
 fn steps(fold: &Fold, current: u64) -> Vec<UsageStep> {
     let view = UsageView {
-        book: fold.windows(),
+        table: fold.windows(),
         current,
         dcs: &["d0".into(), "d1".into()],
-        patience: 3,
+        seal_wait_windows: 3,
     };
     usage_steps(view, Term(0))
 }
