--- a/crates/godwitspool-version/src/candidate.rs
+++ b/crates/godwitspool-version/src/candidate.rs
@@ -1,4 +1,4 @@
-//! What one host does to get, keep and use a lease.
+//! The state machine by which a host claims, renews and uses a lease.
 
 use std::collections::VecDeque;
 
@@ -7,18 +7,18 @@
 
 use crate::{HostLife, Lease, LeaseKind, LeaseRecord, LeaseStep, RecordId};
 
-const MAX_PENDING: usize = 8;
+const MAX_PENDING_APPENDS: usize = 8;
 
-/// Times of a lease.
+/// Durations that a lease depends on.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LeaseRules {
-    /// How long others wait beyond the term, for clocks that run at different rates.
+    /// Time that other hosts wait beyond the duration, because clocks run at different rates.
     pub clock_margin: Millis,
-    /// Longest time from the last check before an order to the order's effect.
+    /// Longest time from the last check before an order until the order has taken effect.
     pub order_timeout: Millis,
     /// Time between renewals.
     pub renewal_interval: Millis,
-    /// How long a claim or renewal is good for, from before it was sent.
+    /// How long a claim or renewal is valid, counted from before it was sent.
     pub duration: Millis,
 }
 
@@ -33,49 +33,51 @@
     }
 }
 
-/// Something that a candidate learns.
+/// An input of [`LeaseCandidate::decide`].
 #[derive(Clone, Copy, Debug)]
 pub enum LeaseEvent<'a> {
     /// A record of the log was read.
     Read {
-        /// The record's identity.
+        /// Identifier of the record.
         id: RecordId,
-        /// Its offset.
+        /// Offset of the record in the log.
         offset: Offset,
-        /// What it says.
+        /// Content of the record.
         record: &'a LeaseRecord,
     },
-    /// Time has passed; `ready` tells whether the host may stand as a candidate now.
+    /// Time has passed.
     Tick {
-        /// Set when the log has been read to its end lately.
+        /// Whether the host has read the log to its end recently. The candidate claims and renews
+        /// the lease only if this is set.
         ready: bool,
     },
-    /// The host leaves and gives the lease up.
+    /// The host shuts down and releases the lease.
     Leave,
 }
 
-/// What a candidate wants done.
+/// An output of [`LeaseCandidate::decide`], which the caller carries out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseAction {
-    /// Appends the record. When the answer is lost, the same record may be sent again.
+    /// Append the record. If the result of the append is unknown, the same record may be appended
+    /// again.
     Append {
-        /// The record's identity.
+        /// Identifier of the record.
         id: RecordId,
-        /// What it says.
+        /// Content of the record.
         record: LeaseRecord,
     },
-    /// Tells that a term began on this host.
+    /// A term of this host began.
     Began(Term),
-    /// Tells that this host's term ended.
+    /// The term of this host ended.
     Ended(Term),
 }
 
-/// One host's part in a lease.
+/// One host's state machine for one lease.
 ///
-/// The holder counts its validity from before it sent the claim or renewal, and only once it has
-/// read that record back. Others wait the term and the margin from when they read the last record.
-/// A new holder waits out the life of its predecessor's orders before it acts, so targets that
-/// ignore the fencing token are safe too.
+/// The holder counts the validity from before it sent the claim or renewal, but relies on it only
+/// after it has read that record back. Other hosts wait for the lease's duration and the clock
+/// margin from when they read the last record. A new holder doesn't act until the orders of its
+/// predecessor have timed out, so targets that ignore the fencing token are safe too.
 ///
 /// ```
 /// use godwitspool_types::{Millis, Offset, Term};
@@ -100,7 +102,7 @@
     lease: Lease,
     life: HostLife,
     pending: VecDeque<Pending>,
-    quiet_until: Millis,
+    act_from: Millis,
     claim_delay: Millis,
     read_at: Millis,
     rules: LeaseRules,
@@ -115,7 +117,7 @@
 }
 
 impl LeaseCandidate {
-    /// Makes a candidate that knows nothing of the lease yet.
+    /// Creates a candidate that has read no lease record yet.
     pub fn new(kind: LeaseKind, life: HostLife, rules: LeaseRules) -> Self {
         Self {
             kind,
@@ -123,7 +125,7 @@
             lease: Lease::default(),
             life,
             pending: VecDeque::new(),
-            quiet_until: Millis::ZERO,
+            act_from: Millis::ZERO,
             claim_delay: Millis::ZERO,
             read_at: Millis::ZERO,
             rules,
@@ -132,16 +134,16 @@
         }
     }
 
-    /// Goes on from a lease that a snapshot gave, which counts as read now.
+    /// Replaces the lease by the one from a snapshot, which counts as read now.
     pub fn restore(&mut self, lease: Lease, now: Millis) {
         self.lease = lease;
         self.read_at = now;
     }
 
-    /// Sets how much longer than the first in line this candidate waits, so that not all claim at
-    /// once.
-    pub fn set_claim_delay(&mut self, wait: Millis) {
-        self.claim_delay = wait;
+    /// Sets how much longer this candidate waits before it claims an expired lease, so that hosts
+    /// don't all claim at the same time.
+    pub fn set_claim_delay(&mut self, delay: Millis) {
+        self.claim_delay = delay;
     }
 
     /// Returns the lease as this host has read it.
@@ -149,7 +151,7 @@
         &self.lease
     }
 
-    /// Takes in an event and says what to do.
+    /// Handles an event and returns what to do.
     pub fn decide(&mut self, event: LeaseEvent<'_>, now: Millis) -> Vec<LeaseAction> {
         match event {
             LeaseEvent::Read { id, offset, record } => self.read(id, offset, record, now),
@@ -159,16 +161,16 @@
         }
     }
 
-    /// Returns the term if the host may act under it now.
+    /// Returns the term if this host may act under the lease now.
     ///
-    /// This is the last check before the write of an order: after a pause of the process it fails,
-    /// since the time that is passed in has moved on.
+    /// This is the last check before an order is written. It fails after a pause of the process
+    /// that outlasts the lease, because `now` is past the end of the validity.
     pub fn may_act(&self, now: Millis) -> Option<Term> {
         let own = self.own_term()?;
-        (!self.leaving && now >= self.quiet_until && now < self.valid_until).then_some(own)
+        (!self.leaving && now >= self.act_from && now < self.valid_until).then_some(own)
     }
 
-    /// Returns how long an order that is sent now may take at most.
+    /// Returns the timeout for an order that is sent now, or zero if this host may not act.
     pub fn order_timeout(&self, now: Millis) -> Millis {
         match self.may_act(now) {
             Some(_) => self.rules.order_timeout,
@@ -211,7 +213,7 @@
 
     fn begin(&mut self, sent: Option<Millis>, now: Millis) {
         self.valid_until = sent.map_or(Millis::ZERO, |sent| sent + self.rules.duration);
-        self.quiet_until = now + self.rules.order_timeout + self.rules.clock_margin;
+        self.act_from = now + self.rules.order_timeout + self.rules.clock_margin;
     }
 
     fn tick(&mut self, ready: bool, now: Millis) -> Vec<LeaseAction> {
@@ -251,7 +253,7 @@
     fn append(&mut self, step: LeaseStep, now: Millis) -> LeaseAction {
         self.sequence += 1;
         let id = self.record_id();
-        if self.pending.len() == MAX_PENDING {
+        if self.pending.len() == MAX_PENDING_APPENDS {
             self.pending.pop_front();
         }
         self.pending.push_back(Pending { id, sent: now });
--- a/crates/godwitspool-version/src/lease.rs
+++ b/crates/godwitspool-version/src/lease.rs
@@ -1,14 +1,16 @@
-//! Who holds a lease, as the log's records say.
+//! The state of a lease, folded from the log.
 
 use godwitspool_types::{Offset, Term};
 use serde::{Deserialize, Serialize};
 
 use crate::{HostLife, LeaseRecord, LeaseStep};
 
-/// A lease as folded from the log. It is the same on every host that has read as far.
+/// A lease as folded from the log. It is the same on every host that has read up to the same
+/// offset.
 ///
-/// A claim names the lease record that it follows and counts only while that one is the last, so a
-/// plain append acts as compare-and-set. The claim's offset becomes the term and fencing token.
+/// A claim names the lease record that it follows and takes effect only while that record is the
+/// last, so a plain append acts as a compare-and-set. The claim's offset becomes the term and the
+/// fencing token.
 ///
 /// ```
 /// use godwitspool_types::{Offset, Term};
@@ -26,23 +28,23 @@
 /// ```
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Lease {
-    /// Who holds it and since which term; none once released.
+    /// The holder; `None` before the first claim and after a release.
     pub holder: Option<LeaseHolder>,
-    /// The last record that counted.
+    /// Offset of the last lease record that took effect.
     pub last: Option<Offset>,
 }
 
 /// The holder of a lease.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct LeaseHolder {
-    /// Who holds it.
+    /// Host and incarnation that hold the lease.
     pub life: HostLife,
-    /// The term: the offset of the claim.
+    /// Term of the lease, which is the offset of the claim.
     pub term: Term,
 }
 
 impl Lease {
-    /// Applies a record and tells whether it counts.
+    /// Applies a record and returns whether it takes effect.
     pub fn apply(&mut self, offset: Offset, record: &LeaseRecord) -> bool {
         let counts = match &record.step {
             LeaseStep::Claim { after } => *after == self.last,
--- a/crates/godwitspool-version/tests/lease_schedules.rs
+++ b/crates/godwitspool-version/tests/lease_schedules.rs
@@ -1,4 +1,5 @@
-//! The lease under random schedules beyond the exhaustive search: more processes, finer time.
+//! Tests the lease under random schedules, with more processes and a finer clock than the
+//! exhaustive search in `lease_search.rs`.
 
 use godwitspool_types::{Incarnation, Millis, Offset};
 use godwitspool_version::{
@@ -7,8 +8,8 @@
 use proptest::{collection::vec, prelude::*};
 
 const PROCESSES: usize = 5;
-/// Rates of the clocks, in thousandths: within 1% of true time.
-const RATES: [u64; PROCESSES] = [990, 995, 1_000, 1_005, 1_010];
+/// Rates of the processes' clocks in thousandths of true time, within 1%.
+const CLOCK_RATES_PERMILLE: [u64; PROCESSES] = [990, 995, 1_000, 1_005, 1_010];
 const RULES: LeaseRules = LeaseRules {
     clock_margin: Millis(65),
     order_timeout: Millis(1_000),
@@ -18,13 +19,13 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// A process takes a step; what it appends stays on the way.
+    /// A process handles a tick. What it appends is in flight.
     Step(usize),
-    /// A process reads up to so many records.
+    /// A process reads up to this many records.
     Read(usize, usize),
-    /// An append arrives; a copy may stay on the way.
+    /// An append in flight reaches the log. If set, a copy stays in flight.
     Arrive(usize, bool),
-    /// Time passes.
+    /// This many milliseconds of true time pass.
     Pass(u64),
 }
 
@@ -40,12 +41,12 @@
 
 struct World {
     acted: usize,
-    /// Who may have an order on its way until when, in true time.
-    busy: [u64; PROCESSES],
+    /// For each process, the true time until which an order that it may have sent can take effect.
+    busy_until: [u64; PROCESSES],
     candidates: [LeaseCandidate; PROCESSES],
     log: Vec<(RecordId, LeaseRecord)>,
     now: u64,
-    on_way: Vec<(RecordId, LeaseRecord)>,
+    in_flight: Vec<(RecordId, LeaseRecord)>,
     read: [usize; PROCESSES],
 }
 
@@ -60,17 +61,17 @@
         };
         Self {
             acted: 0,
-            busy: [0; PROCESSES],
+            busy_until: [0; PROCESSES],
             candidates: std::array::from_fn(candidate),
             log: Vec::new(),
             now: 0,
-            on_way: Vec::new(),
+            in_flight: Vec::new(),
             read: [0; PROCESSES],
         }
     }
 
     fn clock(&self, process: usize) -> Millis {
-        Millis(self.now * RATES[process] / 1_000)
+        Millis(self.now * CLOCK_RATES_PERMILLE[process] / 1_000)
     }
 
     fn run(&mut self, op: Op) {
@@ -80,7 +81,7 @@
                 let event = LeaseEvent::Tick { ready: true };
                 for action in self.candidates[process].decide(event, now) {
                     if let LeaseAction::Append { id, record } = action {
-                        self.on_way.push((id, record));
+                        self.in_flight.push((id, record));
                     }
                 }
             }
@@ -106,14 +107,15 @@
     }
 
     fn arrive(&mut self, index: usize, twice: bool) {
-        if index < self.on_way.len() {
-            let append = self.on_way.remove(index);
-            self.on_way.extend(twice.then(|| append.clone()));
+        if index < self.in_flight.len() {
+            let append = self.in_flight.remove(index);
+            self.in_flight.extend(twice.then(|| append.clone()));
             self.log.push(append);
         }
     }
 
-    /// Lets everyone act who may, and tells whether two orders could take effect at once.
+    /// Lets each process act that may, and returns whether two orders could take effect at the same
+    /// time.
     fn clashes(&mut self) -> bool {
         let mut clash = false;
         for process in 0..PROCESSES {
@@ -125,8 +127,10 @@
             }
             self.acted += 1;
             let others = (0..PROCESSES).filter(|other| *other != process);
-            clash |= others.into_iter().any(|other| self.busy[other] > self.now);
-            self.busy[process] = self.now + RULES.order_timeout.0;
+            clash |= others
+                .into_iter()
+                .any(|other| self.busy_until[other] > self.now);
+            self.busy_until[process] = self.now + RULES.order_timeout.0;
         }
         clash
     }
@@ -145,6 +149,7 @@
     }
 }
 
+/// Checks that processes get to act at all, since the test above passes if none ever does.
 #[test]
 fn the_schedules_let_processes_act() {
     let mut world = World::new(RULES);
--- a/crates/godwitspool-version/tests/lease_search.rs
+++ b/crates/godwitspool-version/tests/lease_search.rs
@@ -1,8 +1,8 @@
-//! Searches the lease exhaustively for three processes.
+//! Searches the states of a lease with three processes exhaustively.
 //!
-//! Every order of reads, appends (lost, late and doubled), pauses and ticks of clocks that run at
-//! different rates is tried up to a bound. An outage is a schedule in which no append arrives, a pause
-//! one in which a process takes no step.
+//! The search covers all orders of reads, appends (lost, late and duplicated), pauses and ticks of
+//! clocks that run at different rates, up to a bound. An outage is a schedule in which no append is
+//! delivered, and a pause is one in which a process takes no step.
 
 use std::{
     collections::HashSet,
@@ -19,8 +19,8 @@
 const MAX_IN_FLIGHT: usize = 2;
 const MAX_STATES: usize = 3_000_000;
 const PROCESSES: usize = 3;
-/// Clock units that pass on each process in one tick: 10% slow, right, 10% fast.
-const RATES: [u64; PROCESSES] = [9, 10, 11];
+/// Clock units by which each process's clock advances in one tick: 10% slow, exact, 10% fast.
+const CLOCK_RATES: [u64; PROCESSES] = [9, 10, 11];
 const SAFE: LeaseRules = LeaseRules {
     clock_margin: Millis(5),
     order_timeout: Millis(10),
@@ -30,12 +30,13 @@
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct World {
-    /// Real time, in ticks, until which an order that each process may have sent can take effect.
+    /// For each process, the true time in ticks until which an order that it may have sent can take
+    /// effect.
     busy_until: [u64; PROCESSES],
     candidates: [LeaseCandidate; PROCESSES],
     in_flight: Vec<(RecordId, LeaseRecord)>,
     lease: Lease,
-    /// Records that count. One that doesn't changes no reader, so it is left out.
+    /// Records that take effect. Others don't change the state of any reader, so they are left out.
     log: Vec<(RecordId, LeaseRecord)>,
     read: [usize; PROCESSES],
     ticks: u64,
@@ -62,10 +63,11 @@
     }
 
     fn clock(&self, process: usize) -> Millis {
-        Millis(self.ticks * RATES[process])
+        Millis(self.ticks * CLOCK_RATES[process])
     }
 
-    /// Lets a process act if it may, and tells whether another's order can still take effect.
+    /// Lets a process act if it may, and returns whether an order of another process can still take
+    /// effect.
     fn act(&mut self, process: usize, order_ticks: u64) -> bool {
         if self.candidates[process]
             .may_act(self.clock(process))
@@ -81,9 +83,9 @@
         clash
     }
 
-    fn successors(&self, log: usize, ticks: u64) -> Vec<Self> {
+    fn successors(&self, max_records: usize, max_ticks: u64) -> Vec<Self> {
         let mut next = Vec::new();
-        if self.ticks < ticks {
+        if self.ticks < max_ticks {
             let mut world = self.clone();
             world.ticks += 1;
             for busy in &mut world.busy_until {
@@ -98,7 +100,7 @@
             next.extend(self.read(process));
         }
         for index in 0..self.in_flight.len() {
-            next.extend(self.deliver(index, log));
+            next.extend(self.deliver(index, max_records));
         }
         next
     }
@@ -113,12 +115,13 @@
             }
         }
         let sent = world.in_flight.len() > self.in_flight.len();
-        (sent && world.in_flight.len() <= MAX_IN_FLIGHT && world.all_may_count()).then_some(world)
+        (sent && world.in_flight.len() <= MAX_IN_FLIGHT && world.all_can_take_effect())
+            .then_some(world)
     }
 
-    /// Tells whether each append in flight could still count. A world in which one can't is like the
-    /// one in which it was never sent, and that one is searched as well.
-    fn all_may_count(&self) -> bool {
+    /// Returns whether each append in flight could still take effect. A world in which one can't is
+    /// equivalent to the world in which it was never sent, which is searched as well.
+    fn all_can_take_effect(&self) -> bool {
         let end = Offset(self.log.len() as u64);
         self.in_flight
             .iter()
@@ -141,12 +144,13 @@
         Some(world)
     }
 
-    /// Delivers an append, or delivers it and keeps a copy that comes again. A lost append needs no
-    /// step of its own: to the others it is one that was never sent.
-    fn deliver(&self, index: usize, log: usize) -> impl Iterator<Item = Self> {
+    /// Delivers an append, and returns the worlds without and with a copy that stays in flight. The
+    /// loss of an append needs no step of its own, because the other processes can't distinguish it
+    /// from an append that was never sent.
+    fn deliver(&self, index: usize, max_records: usize) -> impl Iterator<Item = Self> {
         let mut again = self.clone();
         let (id, record) = again.in_flight[index].clone();
-        if again.log.len() < log {
+        if again.log.len() < max_records {
             again.lease.apply(Offset(again.log.len() as u64), &record);
             again.log.push((id, record));
         }
@@ -155,21 +159,21 @@
         let delivered = again.log.len() > self.log.len();
         [once, again]
             .into_iter()
-            .filter(move |world| delivered && world.all_may_count())
+            .filter(move |world| delivered && world.all_can_take_effect())
     }
 }
 
 #[derive(Debug)]
-struct Found {
+struct SearchResult {
     clash: bool,
     acted: HashSet<usize>,
     states: usize,
 }
 
-/// Walks every reachable state up to the bounds. An order can take effect for `order_ticks` after the
-/// last check.
-fn search(rules: LeaseRules, log: usize, ticks: u64, order_ticks: u64) -> Found {
-    let mut found = Found {
+/// Searches all reachable states up to the bounds. An order can take effect until `order_ticks`
+/// after the last check.
+fn search(rules: LeaseRules, max_records: usize, max_ticks: u64, order_ticks: u64) -> SearchResult {
+    let mut found = SearchResult {
         clash: false,
         acted: HashSet::new(),
         states: 0,
@@ -189,7 +193,7 @@
         if found.clash || seen.len() >= MAX_STATES {
             break;
         }
-        for next in world.successors(log, ticks) {
+        for next in world.successors(max_records, max_ticks) {
             let mut hasher = DefaultHasher::new();
             next.hash(&mut hasher);
             if seen.insert(hasher.finish()) {
@@ -204,8 +208,8 @@
 #[rstest]
 #[case::handover(2, 5)]
 #[case::renewal_then_handover(3, 5)]
-fn no_two_processes_act_at_once(#[case] log: usize, #[case] ticks: u64) {
-    let found = search(SAFE, log, ticks, 1);
+fn no_two_processes_act_at_once(#[case] max_records: usize, #[case] max_ticks: u64) {
+    let found = search(SAFE, max_records, max_ticks, 1);
     assert!(!found.clash, "two processes acted at once");
     assert!(found.states < MAX_STATES, "the search was cut off");
     assert_eq!(found.acted.len(), PROCESSES, "a process never acted");
