--- a/crates/godwitspool-version/src/fold.rs
+++ b/crates/godwitspool-version/src/fold.rs
@@ -1,4 +1,4 @@
-//! The log's records, folded by offset into what is in force.
+//! Folds the records of the log, in order of offset, into the state in force.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -16,10 +16,10 @@
 
 const MAX_OUTCOMES: usize = 1_024;
 
-/// What is in force after the records up to an offset.
+/// The state in force after the records up to an offset.
 ///
-/// Equal on every host that has folded as far, whether from the first record or from a snapshot. It
-/// only moves forward, and a gap in the offsets is an error rather than skipped.
+/// It is equal on every host that has folded up to the same offset, whether from the first record
+/// or from a snapshot. Offsets only increase, and a gap between them is an error.
 ///
 /// ```
 /// use godwitspool_types::Offset;
@@ -53,82 +53,82 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct FoldCounts {
-    /// Text that is not a record.
+    /// The text is not a record.
     pub damaged: u64,
-    /// Copies of a record that was already applied.
+    /// The record is a copy of one that was already applied.
     pub repeated: u64,
-    /// Overtaken: another claim, publish, seal or term was first.
+    /// Another claim, publish, seal or term took effect first.
     pub overtaken: u64,
-    /// Of a kind that this version doesn't know.
+    /// The record is of a kind that this release doesn't know.
     pub unknown: u64,
 }
 
-/// What became of a record whose author waits for it.
+/// The outcome of a record whose author waits for it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RecordOutcome {
-    /// Whether it took effect.
+    /// Whether the record took effect.
     pub counted: bool,
-    /// The record.
+    /// Identifier of the record.
     pub id: RecordId,
-    /// Where its first copy stands.
+    /// Offset of the first copy of the record.
     pub offset: Offset,
 }
 
-/// What a record changed.
+/// The effect of a record on the state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
     /// The configuration changed.
     Published {
-        /// The publish.
+        /// Identifier of the publish's record.
         id: RecordId,
     },
-    /// A publish lost against one that was first.
+    /// A publish had no effect, because another one took effect first.
     PublishLost {
-        /// The publish that lost.
+        /// Identifier of the record of the publish that had no effect.
         id: RecordId,
-        /// The publish that is in force.
+        /// Offset of the publish that is in force.
         published: Option<Offset>,
     },
-    /// A workspace has a new key.
+    /// A key was issued for the workspace.
     KeyIssued(Workspace),
-    /// A key is withdrawn.
+    /// The key with this digest was withdrawn.
     KeyWithdrawn(KeyDigest),
     /// A lease was claimed, renewed or released.
     Lease {
-        /// The lease record's identity.
+        /// Identifier of the lease record.
         id: RecordId,
-        /// What it says.
+        /// Content of the lease record.
         record: LeaseRecord,
     },
-    /// An order was begun or ended.
+    /// A target order was opened or closed.
     Order,
-    /// A window was sealed by a data centre, frozen or reported.
+    /// The usage window with this number was sealed by a data centre, frozen or reported.
     Window(u64),
-    /// A fingerprint was quarantined or let go.
+    /// This fingerprint was quarantined, or its quarantine was lifted.
     Quarantine(u64),
-    /// A model is to serve another weight version.
+    /// The weight version to serve was set for this model.
     Weights(ModelName),
-    /// A snapshot's part was written.
+    /// A part of a snapshot was written to the log.
     Snapshot,
-    /// Nothing changed.
+    /// The record had no effect.
     Ignored,
 }
 
-/// The log can't be folded on.
+/// The next record can't be applied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum FoldError {
-    /// Records are missing, because retention has removed them.
+    /// Records are missing, because the log's retention removed them.
     #[snafu(display("records from offset {expected} up to {found} are missing"))]
     Gap {
-        /// The offset that was expected.
+        /// Offset of the first missing record.
         expected: Offset,
-        /// The offset that came.
+        /// Offset of the record that was to be applied.
         found: Offset,
     },
 }
 
 impl Fold {
-    /// Applies the log's text at an offset. Text that is not a record is counted and passed over.
+    /// Applies the text of a record at an offset. Text that is not a record is counted and skipped.
     ///
     /// # Errors
     ///
@@ -143,7 +143,7 @@
         Ok(Vec::new())
     }
 
-    /// Applies a record at an offset. An offset that was already applied changes nothing.
+    /// Applies a record at an offset. An offset that was already applied is ignored.
     ///
     /// # Errors
     ///
@@ -156,7 +156,7 @@
             self.counts.repeated += 1;
             return Ok(vec![Change::Ignored]);
         }
-        let change = self.change(offset, record);
+        let change = self.apply_body(offset, record);
         match (&record.body, &change) {
             (RecordBody::Unknown, _) => self.counts.unknown += 1,
             (_, Change::Ignored | Change::PublishLost { .. }) => self.counts.overtaken += 1,
@@ -181,7 +181,7 @@
         Ok(true)
     }
 
-    fn change(&mut self, offset: Offset, record: &Record) -> Change {
+    fn apply_body(&mut self, offset: Offset, record: &Record) -> Change {
         match &record.body {
             RecordBody::Publish(publish) => self.publish(offset, record.id, publish),
             RecordBody::KeyIssue { digest, workspace } => self.issue_key(*digest, workspace),
@@ -196,39 +196,39 @@
                     id: record.id,
                     record: step.clone(),
                 };
-                counted_as(counted, change)
+                effect_if(counted, change)
             }
             RecordBody::OrderIntent(intent) => {
                 let holder = self.lease(LeaseKind::Orders).term();
-                counted_as(self.orders.open(offset, intent, holder), Change::Order)
+                effect_if(self.orders.open(offset, intent, holder), Change::Order)
             }
             RecordBody::OrderOutcome { order, outcome } => {
-                counted_as(self.orders.close(offset, *order, outcome), Change::Order)
+                effect_if(self.orders.close(offset, *order, outcome), Change::Order)
             }
             RecordBody::UsageSeal(seal) => {
                 let counted = self.windows.seal(offset, seal);
-                counted_as(counted, Change::Window(seal.window))
+                effect_if(counted, Change::Window(seal.window))
             }
             RecordBody::WindowFrozen(frozen) => {
                 let holder = self.lease(LeaseKind::Usage).term();
                 let counted = self.windows.freeze(frozen, holder);
-                counted_as(counted, Change::Window(frozen.window))
+                effect_if(counted, Change::Window(frozen.window))
             }
             RecordBody::WindowReported { window, .. } => {
-                counted_as(self.windows.report(*window), Change::Window(*window))
+                effect_if(self.windows.report(*window), Change::Window(*window))
             }
             RecordBody::QuarantineAdd {
                 fingerprint,
                 targets,
             } => {
                 self.quarantine.insert(*fingerprint, targets.clone());
-                self.note(offset, record.id, true);
+                self.record_outcome(offset, record.id, true);
                 Change::Quarantine(*fingerprint)
             }
             RecordBody::QuarantineLift { fingerprint } => {
                 let counted = self.quarantine.remove(fingerprint).is_some();
-                self.note(offset, record.id, counted);
-                counted_as(counted, Change::Quarantine(*fingerprint))
+                self.record_outcome(offset, record.id, counted);
+                effect_if(counted, Change::Quarantine(*fingerprint))
             }
             RecordBody::WeightsTarget(target) => self.set_weights(offset, record.id, target),
             RecordBody::Snapshot(part) => {
@@ -239,11 +239,9 @@
         }
     }
 
-    // ---
-
     fn publish(&mut self, offset: Offset, id: RecordId, publish: &Publish) -> Change {
         let counted = publish.base == self.published;
-        self.note(offset, id, counted);
+        self.record_outcome(offset, id, counted);
         if !counted {
             let published = self.published;
             return Change::PublishLost { id, published };
@@ -276,7 +274,8 @@
         Change::KeyWithdrawn(digest)
     }
 
-    /// Adds the issued keys to what a publish declares, and takes the withdrawn ones out of force.
+    /// Adds the issued keys to the keys that a publish declares for a workspace, and marks the
+    /// withdrawn ones.
     fn restore_keys(&mut self, workspace: &Workspace) {
         let configuration = Arc::make_mut(&mut self.configuration);
         let Some(rules) = configuration.workspaces.get_mut(workspace) else {
@@ -300,15 +299,15 @@
 
     fn set_weights(&mut self, offset: Offset, id: RecordId, target: &WeightsTarget) -> Change {
         let counted = self.lease(LeaseKind::Weights).term() == Some(target.term);
-        self.note(offset, id, counted);
+        self.record_outcome(offset, id, counted);
         if counted {
             self.weights
                 .insert(target.model.clone(), target.version.clone());
         }
-        counted_as(counted, Change::Weights(target.model.clone()))
+        effect_if(counted, Change::Weights(target.model.clone()))
     }
 
-    fn note(&mut self, offset: Offset, id: RecordId, counted: bool) {
+    fn record_outcome(&mut self, offset: Offset, id: RecordId, counted: bool) {
         if self.outcomes.len() == MAX_OUTCOMES {
             self.outcomes.pop_front();
         }
@@ -319,24 +318,22 @@
         });
     }
 
-    // ---
-
     /// Returns the configuration in force.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// Returns how many records had no effect, and why.
+    /// Returns how many records had no effect, by reason.
     pub fn counts(&self) -> FoldCounts {
         self.counts
     }
 
-    /// Returns a lease.
+    /// Returns the state of a lease, which is the default if it was never claimed.
     pub fn lease(&self, kind: LeaseKind) -> Lease {
         self.leases.get(&kind).cloned().unwrap_or_default()
     }
 
-    /// Returns the offset that is folded next.
+    /// Returns the offset of the next record to apply.
     pub fn next(&self) -> Offset {
         self.next
     }
@@ -346,7 +343,8 @@
         &self.orders
     }
 
-    /// Returns what became of a publish, quarantine or weights record, while it is among the latest.
+    /// Returns the outcome of a publish, quarantine or weights record, if it is among the latest
+    /// 1,024 of these.
     pub fn outcome(&self, id: RecordId) -> Option<RecordOutcome> {
         self.outcomes
             .iter()
@@ -360,17 +358,17 @@
         self.published
     }
 
-    /// Returns the quarantined fingerprints with the targets that each crashed.
+    /// Returns the quarantined fingerprints, each with the targets that crashed while they ran it.
     pub fn quarantine(&self) -> &BTreeMap<u64, Vec<TargetName>> {
         &self.quarantine
     }
 
-    /// Returns the offset up to which the latest snapshot in the log reaches.
+    /// Returns the offset of the first record that the latest snapshot in the log doesn't include.
     pub fn snapshot_end(&self) -> Option<Offset> {
         self.snapshot
     }
 
-    /// Returns the weight versions that models are to serve.
+    /// Returns the weight versions to serve, by model.
     pub fn weights(&self) -> &BTreeMap<ModelName, WeightVersion> {
         &self.weights
     }
@@ -380,13 +378,13 @@
         &self.windows
     }
 
-    /// Tells whether a key was withdrawn.
+    /// Returns whether a key was withdrawn.
     pub fn is_withdrawn(&self, digest: &KeyDigest) -> bool {
         self.withdrawn.contains(digest)
     }
 }
 
-fn counted_as(counted: bool, change: Change) -> Change {
+fn effect_if(counted: bool, change: Change) -> Change {
     if counted { change } else { Change::Ignored }
 }
 
--- a/crates/godwitspool-version/src/snapshot.rs
+++ b/crates/godwitspool-version/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots of the fold, written to the log before retention passes what they replace.
+//! Snapshots of the fold, written to the log before its retention removes the records that they
+//! replace.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +8,9 @@
 
 use crate::{Fold, Record, RecordBody, RecordId, SnapshotPart};
 
-const MAX_ASSEMBLED: usize = 4;
+const MAX_INCOMPLETE_SNAPSHOTS: usize = 4;
 
-/// A snapshot's text could not be read.
+/// The text is not a snapshot.
 #[derive(Debug, Snafu)]
 #[snafu(display("snapshot of {bytes} bytes: {source}"))]
 pub struct SnapshotError {
@@ -18,7 +19,7 @@
 }
 
 impl Fold {
-    /// Codes the fold as text.
+    /// Encodes the fold as JSON.
     ///
     /// ```
     /// use godwitspool_version::Fold;
@@ -35,20 +36,21 @@
         serde_json::to_string(self).expect("every field has a JSON form")
     }
 
-    /// Reads a fold from a snapshot's text.
+    /// Decodes a fold from a snapshot's text.
     ///
     /// # Errors
     ///
-    /// Fails when the text is not a snapshot.
+    /// Fails if the text is not a snapshot.
     pub fn restore(text: &str) -> Result<Self, SnapshotError> {
         serde_json::from_str(text).context(SnapshotSnafu { bytes: text.len() })
     }
 }
 
-/// Cuts a fold's snapshot into records of at most `part_bytes` of text each.
+/// Splits a fold's snapshot into records with at most `part_bytes` of its text each. Parts have at
+/// least 4 bytes, so that each holds at least one character.
 pub fn snapshot_records(fold: &Fold, part_bytes: usize) -> Vec<Record> {
     let text = fold.snapshot();
-    let bodies = cut(&text, part_bytes.max(4));
+    let bodies = split(&text, part_bytes.max(4));
     let snapshot = RecordId::random();
     let parts = bodies.len() as u32;
     let part = |(index, body): (usize, &str)| {
@@ -63,7 +65,7 @@
     bodies.into_iter().enumerate().map(part).collect()
 }
 
-fn cut(text: &str, bytes: usize) -> Vec<&str> {
+fn split(text: &str, bytes: usize) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut rest = text;
     while rest.len() > bytes {
@@ -79,7 +81,7 @@
     parts
 }
 
-/// Puts snapshots together from their parts, in bounded memory.
+/// Assembles snapshots from their parts. At most four incomplete snapshots are kept.
 ///
 /// ```
 /// use godwitspool_version::{Fold, RecordBody, SnapshotParts, snapshot_records};
@@ -94,7 +96,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SnapshotParts {
-    assembled: BTreeMap<RecordId, Assembly>,
+    incomplete: BTreeMap<RecordId, Assembly>,
     newest: Option<Fold>,
 }
 
@@ -105,7 +107,7 @@
 }
 
 impl SnapshotParts {
-    /// Adds a part and tells whether it made a snapshot whole that is the newest so far.
+    /// Adds a part and returns whether it completed a snapshot that is newer than all before.
     pub fn add(&mut self, part: &SnapshotPart) -> bool {
         if self
             .newest
@@ -115,7 +117,7 @@
             return false;
         }
         let assembly = self
-            .assembled
+            .incomplete
             .entry(part.snapshot)
             .or_insert_with(|| Assembly {
                 bodies: BTreeMap::new(),
@@ -123,7 +125,7 @@
             });
         assembly.bodies.insert(part.index, part.body.clone());
         if assembly.bodies.len() < part.parts as usize {
-            self.forget_oldest();
+            self.evict_oldest();
             return false;
         }
         let text = assembly
@@ -131,7 +133,7 @@
             .values()
             .map(String::as_str)
             .collect::<String>();
-        self.assembled.remove(&part.snapshot);
+        self.incomplete.remove(&part.snapshot);
         match Fold::restore(&text) {
             Ok(fold) if fold.next() == part.end => {
                 self.newest = Some(fold);
@@ -141,38 +143,40 @@
         }
     }
 
-    /// Returns the newest whole snapshot.
+    /// Returns the newest complete snapshot.
     pub fn newest(&self) -> Option<&Fold> {
         self.newest.as_ref()
     }
 
-    /// Takes the newest whole snapshot if the records that follow it are still kept.
+    /// Takes the newest complete snapshot if the records that follow it are still in the log, whose
+    /// oldest record is at `retained`.
     pub fn take_from(&mut self, retained: Offset) -> Option<Fold> {
         self.newest.take_if(|fold| fold.next() >= retained)
     }
 
-    fn forget_oldest(&mut self) {
-        if self.assembled.len() <= MAX_ASSEMBLED {
+    fn evict_oldest(&mut self) {
+        if self.incomplete.len() <= MAX_INCOMPLETE_SNAPSHOTS {
             return;
         }
         let oldest = self
-            .assembled
+            .incomplete
             .iter()
             .min_by_key(|(_, assembly)| assembly.end);
         if let Some(id) = oldest.map(|(id, _)| *id) {
-            self.assembled.remove(&id);
+            self.incomplete.remove(&id);
         }
     }
 }
 
-/// When to write a snapshot.
+/// Conditions under which a snapshot is written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SnapshotCadence {
-    /// Longest time between snapshots while there are new records.
+    /// Time after which a snapshot is due if there are new records.
     pub interval: Millis,
-    /// Records after which a snapshot is due.
+    /// Number of new records after which a snapshot is due.
     pub records: u64,
-    /// Share of the retained records, in percent, that may follow the last snapshot.
+    /// Percentage of the retained records that may follow the last snapshot. It applies once the
+    /// log has removed records.
     pub retention_percent: u64,
 }
 
@@ -186,21 +190,22 @@
     }
 }
 
-/// Where the log and its last snapshot stand.
+/// Positions of the log and of its last snapshot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SnapshotPosition {
-    /// Offset that the next record gets.
+    /// Offset of the next record to be appended.
     pub end: Offset,
-    /// The oldest offset that is kept.
+    /// Offset of the oldest record in the log.
     pub retained: Offset,
-    /// End of the last snapshot.
+    /// Offset of the first record that the last snapshot doesn't include; `None` without a
+    /// snapshot.
     pub snapshot: Option<Offset>,
-    /// When the last snapshot was read or written.
+    /// Time at which the last snapshot was read or written.
     pub written: Millis,
 }
 
 impl SnapshotCadence {
-    /// Tells whether a snapshot is due.
+    /// Returns whether a snapshot is due.
     ///
     /// ```
     /// use godwitspool_types::{Millis, Offset};
@@ -216,12 +221,12 @@
     /// ```
     pub fn is_due(&self, position: SnapshotPosition, now: Millis) -> bool {
         let from = position.snapshot.unwrap_or_default();
-        let since = position.end.0.saturating_sub(from.0);
-        let kept = position.end.0.saturating_sub(position.retained.0);
-        let removes = position.retained > Offset(0);
-        since > 0
-            && (since >= self.records
+        let new_records = position.end.0.saturating_sub(from.0);
+        let retained_records = position.end.0.saturating_sub(position.retained.0);
+        let has_removed = position.retained > Offset(0);
+        new_records > 0
+            && (new_records >= self.records
                 || now - position.written >= self.interval
-                || removes && since * 100 >= kept * self.retention_percent)
+                || has_removed && new_records * 100 >= retained_records * self.retention_percent)
     }
 }
--- a/crates/godwitspool-version/tests/fold.rs
+++ b/crates/godwitspool-version/tests/fold.rs
@@ -1,4 +1,5 @@
-//! The fold, its snapshots and its coding under repeated, damaged, raced and missing records.
+//! Tests the fold, its snapshots and the encoding of records with repeated, damaged, concurrent and
+//! missing records.
 
 #![expect(clippy::unwrap_used, reason = "a failed setup fails the test")]
 
