--- a/crates/godwitspool-version/src/coverage.rs
+++ b/crates/godwitspool-version/src/coverage.rs
@@ -1,4 +1,4 @@
-//! Which requests of which entry lives the seals have covered.
+//! Which requests of which entry hosts and incarnations the seals cover.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::{HostLife, UsageRange};
 
-/// Requests covered so far, by host and life.
+/// Requests covered by seals so far, by host and incarnation.
 ///
 /// ```
 /// use godwitspool_version::{Coverage, HostLife, UsageRange};
@@ -38,10 +38,10 @@
 }
 
 impl Coverage {
-    /// Covers the ranges, all or none, and tells whether they were free of requests that are already
-    /// covered.
+    /// Covers all of the ranges, or none if they overlap each other or a covered request. Returns
+    /// whether they are covered now.
     pub fn cover(&mut self, ranges: &[UsageRange], window: u64) -> bool {
-        if !self.is_free(ranges) || !are_disjoint(ranges) {
+        if !self.is_uncovered(ranges) || !are_disjoint(ranges) {
             return false;
         }
         for range in ranges {
@@ -60,7 +60,7 @@
         true
     }
 
-    /// Tells whether a request is covered.
+    /// Returns whether a request is covered.
     pub fn contains(&self, source: &HostLife, sequence: u64) -> bool {
         self.life(source).is_some_and(|life| {
             life.spans
@@ -69,20 +69,20 @@
         })
     }
 
-    /// Forgets lives that no seal has named since before the window.
-    pub fn forget_before(&mut self, window: u64) {
+    /// Removes the incarnations that no seal of this window or a later one covers.
+    pub fn remove_before(&mut self, window: u64) {
         for lives in self.lives.values_mut() {
             lives.retain(|_, life| life.window >= window);
         }
         self.lives.retain(|_, lives| !lives.is_empty());
     }
 
-    /// Counts the lives that are kept.
+    /// Counts the incarnations in the coverage, over all hosts.
     pub fn lives(&self) -> usize {
         self.lives.values().map(BTreeMap::len).sum()
     }
 
-    fn is_free(&self, ranges: &[UsageRange]) -> bool {
+    fn is_uncovered(&self, ranges: &[UsageRange]) -> bool {
         ranges.iter().all(|range| {
             self.life(&range.source).is_none_or(|life| {
                 life.spans
--- a/crates/godwitspool-version/src/usage.rs
+++ b/crates/godwitspool-version/src/usage.rs
@@ -1,4 +1,4 @@
-//! Usage between the entry that counted it and the report to the platform.
+//! Usage on its way from the entry host that counted it to the report to the platform.
 
 use std::collections::BTreeMap;
 
@@ -11,15 +11,15 @@
 /// Usage of one request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RequestUsage {
-    /// Figures, with one request.
+    /// Figures of the request; `requests` is 1.
     pub figures: UsageFigures,
-    /// Sequence number on the entry.
+    /// Sequence number of the request on its entry host.
     pub sequence: u64,
-    /// Entry that counted.
+    /// Entry host that counted the request.
     pub source: HostLife,
 }
 
-/// Usage that this host holds and no counted seal has covered yet.
+/// Usage that this host stores until a seal covers it.
 ///
 /// ```
 /// use godwitspool_types::Millis;
@@ -37,7 +37,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct HeldUsage {
-    lives: BTreeMap<HostLife, BTreeMap<u64, Held>>,
+    by_source: BTreeMap<HostLife, BTreeMap<u64, Held>>,
 }
 
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
 }
 
 impl HeldUsage {
-    /// Holds a request's usage; false if it is held or covered already.
+    /// Stores the usage of a request. Returns false if it is already stored or covered.
     pub fn hold(&mut self, usage: RequestUsage, coverage: &Coverage, now: Millis) -> bool {
         if coverage.contains(&usage.source, usage.sequence) {
             return false;
@@ -56,8 +56,8 @@
             figures: usage.figures,
             since: now,
         };
-        let life = self.lives.entry(usage.source).or_default();
-        match life.entry(usage.sequence) {
+        let by_sequence = self.by_source.entry(usage.source).or_default();
+        match by_sequence.entry(usage.sequence) {
             std::collections::btree_map::Entry::Occupied(_) => false,
             std::collections::btree_map::Entry::Vacant(vacant) => {
                 vacant.insert(held);
@@ -66,29 +66,31 @@
         }
     }
 
-    /// Lets go what the seals have covered.
+    /// Removes the usage that seals cover.
     pub fn forget_covered(&mut self, coverage: &Coverage) {
-        for (source, life) in &mut self.lives {
-            life.retain(|sequence, _| !coverage.contains(source, *sequence));
+        for (source, by_sequence) in &mut self.by_source {
+            by_sequence.retain(|sequence, _| !coverage.contains(source, *sequence));
         }
-        self.lives.retain(|_, life| !life.is_empty());
+        self.by_source
+            .retain(|_, by_sequence| !by_sequence.is_empty());
     }
 
-    /// Makes a seal of what is held from the hosts named, and of what nobody has sealed for so long
-    /// that its own data centre must have lost it.
+    /// Creates a seal of the usage from this data centre's hosts, which are those for which
+    /// `is_own` returns true. Usage from other hosts is included if it has been held since
+    /// `orphaned_since` or earlier, because its own data centre must have lost it.
     pub fn seal(
         &self,
         dc: &Dc,
         window: u64,
         is_own: impl Fn(&HostName) -> bool,
-        orphaned: Millis,
+        orphaned_since: Millis,
     ) -> UsageSeal {
         let mut ranges = Vec::<UsageRange>::new();
         let mut figures = Vec::new();
-        for (source, life) in &self.lives {
+        for (source, by_sequence) in &self.by_source {
             let own = is_own(&source.host);
-            for (sequence, held) in life {
-                if own || held.since <= orphaned {
+            for (sequence, held) in by_sequence {
+                if own || held.since <= orphaned_since {
                     extend(&mut ranges, source, *sequence);
                     figures.push(&held.figures);
                 }
@@ -102,10 +104,10 @@
         }
     }
 
-    /// Returns everything that is held.
+    /// Returns all usage that is held, by entry host and sequence number.
     pub fn all(&self) -> impl Iterator<Item = RequestUsage> {
-        self.lives.iter().flat_map(|(source, life)| {
-            life.iter().map(|(sequence, held)| RequestUsage {
+        self.by_source.iter().flat_map(|(source, by_sequence)| {
+            by_sequence.iter().map(|(sequence, held)| RequestUsage {
                 figures: held.figures.clone(),
                 sequence: *sequence,
                 source: source.clone(),
@@ -113,14 +115,14 @@
         })
     }
 
-    /// Counts the requests that are held.
+    /// Returns the number of requests whose usage is held.
     pub fn len(&self) -> usize {
-        self.lives.values().map(BTreeMap::len).sum()
+        self.by_source.values().map(BTreeMap::len).sum()
     }
 
-    /// Tells whether nothing is held.
+    /// Returns whether no usage is held.
     pub fn is_empty(&self) -> bool {
-        self.lives.is_empty()
+        self.by_source.is_empty()
     }
 }
 
@@ -135,33 +137,35 @@
     }
 }
 
-// ---
-
-/// What the holder of the usage lease does about windows.
+/// A step of the usage lease's holder on a window.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum UsageStep {
-    /// Freezes a window's figures in the log.
+    /// Record the frozen figures of a window in the log.
     Freeze(WindowFrozen),
-    /// Reports frozen figures to the platform, again until acknowledged.
+    /// Report frozen figures to the platform. The step is returned until the platform acknowledges
+    /// them.
     Report(WindowFrozen),
 }
 
-/// What the usage decisions go by.
+/// Inputs of [`usage_steps`].
 #[derive(Clone, Copy, Debug)]
 pub struct UsageView<'a> {
-    /// Windows as folded.
+    /// Windows, as folded from the log.
     pub table: &'a WindowTable,
-    /// Window that runs now.
+    /// Number of the current window. Older windows are over and may be frozen.
     pub current: u64,
-    /// Data centres whose seals are waited for.
+    /// Data centres that seal each window.
     pub dcs: &'a [Dc],
-    /// Windows for which a data centre's seal is waited for.
+    /// Number of windows to wait for a data centre's seal.
     pub seal_wait_windows: u64,
 }
 
-/// Says what to do under a term: freeze each window once all its seals are there, oldest first, and
-/// report what is frozen. A data centre that is cut off is waited for; after the patience the window is
-/// frozen with that data centre named as missing, and its usage goes into a later window.
+/// Returns what the holder of the usage lease has to do under its term.
+///
+/// Windows are frozen oldest first, each as soon as all its seals are in the log, and then
+/// reported. If a data centre is unreachable, its seal is waited for during `seal_wait_windows`.
+/// The window is then frozen with that data centre listed as missing, and its usage is counted in a
+/// later window.
 ///
 /// ```
 /// use godwitspool_types::Term;
--- a/crates/godwitspool-version/src/window_table.rs
+++ b/crates/godwitspool-version/src/window_table.rs
@@ -1,4 +1,5 @@
-//! Usage windows as the log knows them: open, sealed by data centres, frozen, reported.
+//! Usage windows, folded from the log. Each is open, then sealed by the data centres, frozen and
+//! reported.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +8,45 @@
 
 use crate::{Coverage, UsageFigures, UsageSeal, WindowFrozen};
 
-const KEPT_REPORTED: usize = 64;
-const KEPT_LIVES_WINDOWS: u64 = 2_880;
+const MAX_REPORTED_WINDOWS: usize = 64;
+/// Age at which the coverage of an incarnation is removed.
+const COVERAGE_RETENTION_WINDOWS: u64 = 2_880;
 
 /// Usage windows, as folded from the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WindowTable {
-    /// Requests that the seals have covered.
+    /// Requests that the seals cover.
     pub coverage: Coverage,
-    /// The last window that was frozen; windows are frozen in rising order.
+    /// Number of the last frozen window. Windows are frozen in ascending order.
     pub last_frozen: Option<u64>,
-    /// Windows with a seal or frozen figures.
+    /// Windows with a seal or frozen figures, by number. Of the reported ones, the latest 64 are
+    /// kept.
     pub windows: BTreeMap<u64, WindowState>,
 }
 
-/// What is known of a window.
+/// The state of a window.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WindowState {
-    /// Frozen figures.
+    /// Frozen figures; `None` while the window is open.
     pub frozen: Option<WindowFrozen>,
-    /// Set once the platform has acknowledged the figures.
+    /// Whether the platform has acknowledged the figures.
     pub reported: bool,
-    /// Figures by data centre.
+    /// Sealed figures, by data centre.
     pub seals: BTreeMap<Dc, SealedFigures>,
 }
 
-/// Figures of a data centre in a window.
+/// Figures that a data centre sealed for a window.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SealedFigures {
-    /// The figures.
+    /// Sums by workspace and service.
     pub figures: Vec<UsageFigures>,
-    /// Where the seal stands in the log.
+    /// Offset of the seal's record.
     pub offset: Offset,
 }
 
 impl WindowTable {
-    /// Takes in a seal and tells whether it counts: the first one of its data centre in a window
-    /// that is not frozen, covering only requests that no other seal has covered.
+    /// Applies a seal and returns whether it takes effect. It must be the first one of its data
+    /// centre in a window that is not frozen, and cover only requests that no other seal covers.
     pub fn seal(&mut self, offset: Offset, seal: &UsageSeal) -> bool {
         if !self.is_open(seal.window) || self.is_sealed(seal.window, &seal.dc) {
             return false;
@@ -60,12 +63,13 @@
         true
     }
 
-    /// Takes in frozen figures and tells whether they count: under the term of the current holder, in
-    /// rising order of windows without passing one that has seals, and equal to the sum of the seals.
+    /// Freezes a window and returns whether that takes effect. The figures must have the term of
+    /// the current `holder` and equal the sum of the window's seals. Windows are frozen in
+    /// ascending order, and not before an older window that has seals.
     pub fn freeze(&mut self, frozen: &WindowFrozen, holder: Option<Term>) -> bool {
         let counts = holder == Some(frozen.term)
             && self.is_open(frozen.window)
-            && self.is_oldest(frozen.window)
+            && self.is_oldest_unfrozen(frozen.window)
             && frozen.figures == self.sum(frozen.window);
         if !counts {
             return false;
@@ -73,12 +77,13 @@
         self.last_frozen = Some(frozen.window);
         let state = self.windows.entry(frozen.window).or_default();
         state.frozen = Some(frozen.clone());
-        let oldest = frozen.window.saturating_sub(KEPT_LIVES_WINDOWS);
-        self.coverage.forget_before(oldest);
+        let oldest = frozen.window.saturating_sub(COVERAGE_RETENTION_WINDOWS);
+        self.coverage.remove_before(oldest);
         true
     }
 
-    /// Notes that a window's figures were acknowledged and tells whether that is news.
+    /// Marks a window as acknowledged by the platform and returns whether it was frozen and not
+    /// marked yet.
     pub fn report(&mut self, window: u64) -> bool {
         let Some(state) = self.windows.get_mut(&window) else {
             return false;
@@ -87,23 +92,23 @@
             return false;
         }
         state.reported = true;
-        self.forget_reported();
+        self.evict_reported();
         true
     }
 
-    /// Tells whether a window still takes seals.
+    /// Returns whether a window still accepts seals.
     pub fn is_open(&self, window: u64) -> bool {
         self.last_frozen.is_none_or(|last| window > last)
     }
 
-    /// Tells whether a data centre has sealed a window.
+    /// Returns whether a data centre has sealed a window.
     pub fn is_sealed(&self, window: u64, dc: &Dc) -> bool {
         self.windows
             .get(&window)
             .is_some_and(|state| state.seals.contains_key(dc))
     }
 
-    /// Adds the seals of a window up, in order of workspace and service.
+    /// Returns the sum of a window's seals, in order of workspace and service.
     ///
     /// ```
     /// use godwitspool_version::WindowTable;
@@ -119,7 +124,7 @@
         sum_figures(figures)
     }
 
-    /// Returns frozen windows that are not yet acknowledged, oldest first.
+    /// Returns the frozen windows that the platform has not acknowledged yet, oldest first.
     pub fn unreported(&self) -> impl Iterator<Item = &WindowFrozen> {
         self.windows
             .values()
@@ -127,14 +132,14 @@
             .filter_map(|state| state.frozen.as_ref())
     }
 
-    fn is_oldest(&self, window: u64) -> bool {
+    fn is_oldest_unfrozen(&self, window: u64) -> bool {
         let older = self.windows.range(..window);
         older.into_iter().all(|(_, state)| state.frozen.is_some())
     }
 
-    fn forget_reported(&mut self) {
+    fn evict_reported(&mut self) {
         let reported = self.windows.values().filter(|state| state.reported).count();
-        let surplus = reported.saturating_sub(KEPT_REPORTED);
+        let surplus = reported.saturating_sub(MAX_REPORTED_WINDOWS);
         let old = self
             .windows
             .iter()
@@ -148,7 +153,7 @@
     }
 }
 
-/// Adds figures up by workspace and service, in that order.
+/// Sums figures by workspace and service, and returns the sums in that order.
 ///
 /// ```
 /// use godwitspool_version::{UsageFigures, sum_figures};
--- a/crates/godwitspool-version/tests/usage.rs
+++ b/crates/godwitspool-version/tests/usage.rs
@@ -1,4 +1,5 @@
-//! Usage through racing seals, lost hosts, repeated appends and changes of the holder.
+//! Tests usage accounting with concurrent seals, hosts that lag behind, repeated appends and
+//! changes of the lease holder.
 
 use godwitspool_types::{Dc, HostName, Incarnation, Millis, Offset, Term};
 use godwitspool_version::{
@@ -17,23 +18,25 @@
 }
 
 fn dc(steward: usize) -> Dc {
-    // Two stewards share a data centre, the third has one of its own.
+    // Two stewards share a data centre, and the third has its own.
     format!("d{}", steward / 2).into()
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// An entry answers a request; its usage is held by all stewards.
+    /// An entry host answers a request, and all stewards store its usage.
     Answer(usize),
     /// A steward reads one more record of the log.
     Read(usize),
-    /// A steward seals its data centre's window from what it knows; the append may come twice.
+    /// A steward seals its data centre's window from the usage that it stores. If set, the append
+    /// is repeated.
     Seal(usize, bool),
-    /// A steward that believes it is in charge takes the steps for it.
+    /// A steward that believes it holds the lease executes the holder's steps. If set, the appends
+    /// are repeated.
     Lead(usize, bool),
     /// A steward claims the lease.
     Claim(usize),
-    /// The window ends.
+    /// The current window ends.
     Pass,
 }
 
@@ -66,7 +69,7 @@
                 self.read(steward);
             }
             Op::Seal(steward, twice) => {
-                // A repeated seal may also be a late one, for the window before.
+                // A repeated seal is also late, since it is for the window before.
                 let window = self.window.saturating_sub(u64::from(twice));
                 let body = RecordBody::UsageSeal(self.seal(steward, window));
                 self.append(body, twice);
@@ -156,8 +159,8 @@
         self.log.push(record);
     }
 
-    /// Lets every steward read to the end.
-    fn settle(&mut self) {
+    /// Lets every steward read to the end of the log.
+    fn read_all(&mut self) {
         for steward in 0..STEWARDS {
             while self.read(steward) {}
         }
@@ -174,19 +177,19 @@
         for op in ops {
             world.run(op);
         }
-        world.settle();
-        // Everything heals: windows pass until all is sealed, frozen and reported.
+        world.read_all();
+        // Without further faults, windows pass until all usage is sealed, frozen and reported.
         for _ in 0..4 {
             world.run(Op::Claim(1));
-            world.settle();
+            world.read_all();
             for steward in 0..STEWARDS {
                 world.run(Op::Seal(steward, false));
             }
             world.run(Op::Pass);
-            world.settle();
+            world.read_all();
             for _ in 0..40 {
                 world.run(Op::Lead(1, false));
-                world.settle();
+                world.read_all();
             }
         }
         let mut billed = std::collections::BTreeMap::new();
