--- a/crates/godwitspool-version/src/order_dispatch.rs
+++ b/crates/godwitspool-version/src/order_dispatch.rs
@@ -1,4 +1,4 @@
-//! Which open orders to send, and which to give up.
+//! Which open orders to send, and which to revoke.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,24 @@
 
 use crate::{OpenOrder, OrderId, OrderIntent, OrderTable, TargetAction};
 
-/// Times of target orders.
+/// Durations that govern the sending of target orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OrderTimes {
-    /// Time between a stop's intent, on which entries send no new work, and the stop.
+    /// Time between the intent of a stop, from which entries send no new work, and the stop itself.
     pub drain: Millis,
-    /// Age after which a successor gives an order up instead of finishing it.
-    pub finish: Millis,
-    /// Time between attempts at an order whose answer was lost.
-    pub retry: Millis,
+    /// Time since this host first saw an order of an earlier term, after which it revokes the order
+    /// instead of sending it.
+    pub revoke_after: Millis,
+    /// Time between attempts to send or revoke an order whose outcome is not recorded yet.
+    pub retry_interval: Millis,
 }
 
 impl Default for OrderTimes {
     fn default() -> Self {
         Self {
             drain: Millis(3_000),
-            finish: Millis(60_000),
-            retry: Millis(1_000),
+            revoke_after: Millis(60_000),
+            retry_interval: Millis(1_000),
         }
     }
 }
@@ -30,24 +31,24 @@
 /// What to do about an open order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderStep {
-    /// Sends the order, under the sender's own term.
+    /// Sends the order, under the current term of the sender.
     Send(OrderIntent),
-    /// Records that the order is given up.
+    /// Records that the order is revoked.
     Revoke(OrderId),
 }
 
-/// Follows the open orders from intent to outcome.
+/// Decides when the open orders are sent, until their outcome is recorded.
 ///
-/// An order is sent only once its intent was read back from the log, so a successor knows every order
-/// that may have been given. The platform carries an order of one identity out once, however often it
-/// is sent.
+/// An order is sent only after its intent was read back from the log, so the next lease holder
+/// knows every order that may have been sent. The platform deduplicates orders by their identifier,
+/// so an order may be sent repeatedly.
 ///
 /// ```
 /// use godwitspool_types::{Millis, Term};
-/// use godwitspool_version::{OrderTable, OrderDispatcher, OrderTimes};
+/// use godwitspool_version::{OrderDispatcher, OrderTable, OrderTimes};
 ///
-/// let mut desk = OrderDispatcher::new(OrderTimes::default());
-/// assert!(desk.decide(&OrderTable::default(), Some(Term(3)), Millis(0)).is_empty());
+/// let mut dispatcher = OrderDispatcher::new(OrderTimes::default());
+/// assert!(dispatcher.decide(&OrderTable::default(), Some(Term(3)), Millis(0)).is_empty());
 /// ```
 #[derive(Clone, Debug)]
 pub struct OrderDispatcher {
@@ -57,12 +58,12 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
-    seen: Millis,
+    first_seen: Millis,
     sent: Option<Millis>,
 }
 
 impl OrderDispatcher {
-    /// Makes a desk that has seen no order.
+    /// Creates a dispatcher that has seen no order.
     pub fn new(times: OrderTimes) -> Self {
         Self {
             orders: BTreeMap::new(),
@@ -70,20 +71,27 @@
         }
     }
 
-    /// Takes note of the open orders and, if the host is in charge, says what to do about them.
-    pub fn decide(&mut self, book: &OrderTable, term: Option<Term>, now: Millis) -> Vec<OrderStep> {
+    /// Tracks the open orders and returns what to do about them if this host holds the lease, which
+    /// is when `term` is set.
+    pub fn decide(
+        &mut self,
+        table: &OrderTable,
+        term: Option<Term>,
+        now: Millis,
+    ) -> Vec<OrderStep> {
         self.orders
-            .retain(|order, _| book.open.iter().any(|open| open.intent.order == *order));
-        for open in &book.open {
+            .retain(|order, _| table.open.iter().any(|open| open.intent.order == *order));
+        for open in &table.open {
             self.orders.entry(open.intent.order).or_insert(Attempt {
-                seen: now,
+                first_seen: now,
                 sent: None,
             });
         }
         let Some(term) = term else {
             return Vec::new();
         };
-        book.open
+        table
+            .open
             .iter()
             .filter_map(|open| self.step(open, term, now))
             .collect()
@@ -94,20 +102,20 @@
         let attempt = self.orders.get_mut(&intent.order)?;
         if attempt
             .sent
-            .is_some_and(|sent| now < sent + self.times.retry)
+            .is_some_and(|sent| now < sent + self.times.retry_interval)
         {
             return None;
         }
         let is_inherited = intent.term != term;
-        if is_inherited && now - attempt.seen >= self.times.finish {
+        if is_inherited && now - attempt.first_seen >= self.times.revoke_after {
             attempt.sent = Some(now);
             return Some(OrderStep::Revoke(intent.order));
         }
-        let drained = match intent.action {
+        let is_send_due = match intent.action {
             TargetAction::Start(_) => true,
-            TargetAction::Stop(_) => now >= attempt.seen + self.times.drain,
+            TargetAction::Stop(_) => now >= attempt.first_seen + self.times.drain,
         };
-        if !drained {
+        if !is_send_due {
             return None;
         }
         attempt.sent = Some(now);
--- a/crates/godwitspool-version/src/order_table.rs
+++ b/crates/godwitspool-version/src/order_table.rs
@@ -1,4 +1,4 @@
-//! Target orders as the log knows them: open until an outcome is recorded.
+//! Target orders, folded from the log. An order is open until its outcome is recorded.
 
 use std::collections::VecDeque;
 
@@ -7,12 +7,12 @@
 
 use crate::{OrderId, OrderIntent, OrderOutcome};
 
-const MAX_CLOSED: usize = 128;
+const MAX_CLOSED_ORDERS: usize = 128;
 
-/// Orders that were begun, as folded from the log.
+/// Target orders whose intent was recorded, as folded from the log.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderTable {
-    /// The latest orders that ended, oldest first.
+    /// The latest 128 orders that ended, oldest first.
     pub closed: VecDeque<ClosedOrder>,
     /// Orders without an outcome.
     pub open: Vec<OpenOrder>,
@@ -21,26 +21,26 @@
 /// An order without an outcome.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OpenOrder {
-    /// What is ordered.
+    /// The order as it was recorded.
     pub intent: OrderIntent,
-    /// Where the intent stands in the log.
+    /// Offset of the intent record.
     pub offset: Offset,
 }
 
 /// An order that ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClosedOrder {
-    /// What was ordered.
+    /// The order as it was recorded.
     pub intent: OrderIntent,
-    /// Where the outcome stands in the log.
+    /// Offset of the outcome record.
     pub offset: Offset,
-    /// How it ended.
+    /// Result of the order.
     pub outcome: OrderOutcome,
 }
 
 impl OrderTable {
-    /// Opens an order and tells whether that counts: only under the term of the current holder, and
-    /// only once for each identity.
+    /// Opens an order and returns whether that takes effect. The order must have the term of the
+    /// current `holder` and an identifier that is not in the table.
     pub fn open(&mut self, offset: Offset, intent: &OrderIntent, holder: Option<Term>) -> bool {
         if holder != Some(intent.term) || self.is_known(intent.order) {
             return false;
@@ -52,13 +52,13 @@
         true
     }
 
-    /// Closes an order and tells whether it was open.
+    /// Closes an order and returns whether it was open.
     pub fn close(&mut self, offset: Offset, order: OrderId, outcome: &OrderOutcome) -> bool {
         let Some(index) = self.open.iter().position(|open| open.intent.order == order) else {
             return false;
         };
         let open = self.open.remove(index);
-        if self.closed.len() == MAX_CLOSED {
+        if self.closed.len() == MAX_CLOSED_ORDERS {
             self.closed.pop_front();
         }
         self.closed.push_back(ClosedOrder {
@@ -69,7 +69,7 @@
         true
     }
 
-    /// Counts open orders by whether they are of the term.
+    /// Counts the open orders that were recorded under the term.
     ///
     /// ```
     /// use godwitspool_types::Term;
