--- a/crates/godwitspool-version/src/awaited_targets.rs
+++ b/crates/godwitspool-version/src/awaited_targets.rs
@@ -1,4 +1,4 @@
-//! Targets whose new phase the platform's lagging list may not show yet.
+//! Targets whose change the platform's list may not show yet, because the list lags behind.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{ObservedTarget, OrderIntent, TargetAction, TargetPhase};
 
-/// Targets that were started or stopped a short while ago.
+/// Targets that were started or stopped recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AwaitedTargets(BTreeMap<TargetName, Awaited>);
 
@@ -19,8 +19,9 @@
 }
 
 impl AwaitedTargets {
-    /// Notes targets that an order has started or stopped.
-    pub(crate) fn note(&mut self, intent: &OrderIntent, names: &[TargetName], until: Millis) {
+    /// Adds targets that an order has started or stopped. The list is corrected for them until it
+    /// shows the change, or until `until`.
+    pub(crate) fn add(&mut self, intent: &OrderIntent, names: &[TargetName], until: Millis) {
         let awaited = Awaited {
             class: intent.class.clone(),
             dc: intent.dc.clone(),
@@ -35,15 +36,15 @@
             .extend(names.map(|name| (name.clone(), awaited.clone())));
     }
 
-    /// Returns the targets as the platform's list will show them once it has caught up.
+    /// Returns the targets as the platform's list will show them when it is up to date.
     pub(crate) fn expected(
         &mut self,
         listed: &[ObservedTarget],
         now: Millis,
     ) -> Vec<ObservedTarget> {
         self.0.retain(|name, awaited| {
-            let shown = listed.iter().find(|seen| seen.target == *name);
-            now < awaited.until && !awaited.is_shown(shown)
+            let entry = listed.iter().find(|seen| seen.target == *name);
+            now < awaited.until && !awaited.is_in_effect(entry)
         });
         let unchanged = listed
             .iter()
@@ -59,11 +60,11 @@
 }
 
 impl Awaited {
-    fn is_shown(&self, shown: Option<&ObservedTarget>) -> bool {
+    fn is_in_effect(&self, entry: Option<&ObservedTarget>) -> bool {
         match self.phase {
-            TargetPhase::Active => shown.is_some(),
+            TargetPhase::Active => entry.is_some(),
             TargetPhase::Leaving | TargetPhase::Reclaimed => {
-                shown.is_none_or(|seen| seen.phase != TargetPhase::Active)
+                entry.is_none_or(|seen| seen.phase != TargetPhase::Active)
             }
         }
     }
--- a/crates/godwitspool-version/src/scaling.rs
+++ b/crates/godwitspool-version/src/scaling.rs
@@ -1,43 +1,43 @@
-//! How many targets of which class each data centre is to have.
+//! The scaling policy: how many targets of each class a data centre should have.
 //!
-//! Both directions follow the break-even rule: targets are started once the work that waits has lost
-//! as much worth as a start costs, and stopped once their idle time has cost as much as the next
-//! start would. So neither a short burst nor a short pause moves anything.
+//! Both directions follow the break-even rule. Targets are started once the waiting work has lost
+//! as much value as a start costs, and stopped once their idle time has cost as much as another
+//! start would. A short burst of work or a short pause therefore causes no order.
 
-mod service_memory;
+mod service_state;
 mod shares;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use godwitspool_types::{ClassName, Dc, Millis, Offset, ServiceName};
 
-use self::service_memory::ServiceMemory;
+use self::service_state::ServiceState;
 use crate::{
     ClassRules, OrderOutcome, OrderReason, OrderTable, ScalingRules, ScalingView, TargetAction,
     TargetPhase,
     awaited_targets::AwaitedTargets,
     scaling_view::{
-        bounds, capacity, classes_of, count, has_reclaimed, idle_names, kept_capacity, room,
-        starting,
+        active_names, bounds, capacity, classes_of, count_starting, count_targets, has_reclaimed,
+        interactive_capacity, room_below_ceiling,
     },
 };
 
 const MINUTE: Millis = Millis(60_000);
 
-/// An order that the policy wants given.
+/// A target order that the policy decided on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ScalingOrder {
-    /// What to do.
+    /// Whether to start or stop targets, and how many or which ones.
     pub action: TargetAction,
-    /// Class.
+    /// Class of the targets.
     pub class: ClassName,
-    /// Data centre.
+    /// Data centre of the targets.
     pub dc: Dc,
-    /// Why.
+    /// Rule that led to the order.
     pub reason: OrderReason,
 }
 
-/// The policy's memory.
+/// The scaling policy with its state.
 ///
 /// ```
 /// use godwitspool_types::Millis;
@@ -66,118 +66,121 @@
 #[derive(Clone, Debug)]
 pub struct Scaling {
     awaited: AwaitedTargets,
-    last: Option<Millis>,
-    noted: Offset,
-    ordered: BTreeMap<Dc, VecDeque<Millis>>,
-    places: BTreeMap<Place, Memory>,
+    last_decision: Option<Millis>,
+    /// Offset from which order outcomes have not been applied yet.
+    next_outcome: Offset,
+    /// Times of the orders in the last minute.
+    recent_orders: BTreeMap<Dc, VecDeque<Millis>>,
+    class_states: BTreeMap<ClassKey, ClassState>,
     rules: ScalingRules,
-    services: BTreeMap<(Dc, ServiceName), ServiceMemory>,
+    service_states: BTreeMap<(Dc, ServiceName), ServiceState>,
 }
 
-type Place = (Dc, ClassName);
+type ClassKey = (Dc, ClassName);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Memory {
+struct ClassState {
+    /// Cost of idle targets so far, in price units times milliseconds.
     idle_cost: u64,
-    none: u32,
-    ordered: Option<Millis>,
+    /// Consecutive orders for which no targets were available.
+    unavailable: u32,
+    last_order: Option<Millis>,
+    /// Reclaimed targets so far.
     reclaims: u32,
-    reclaimed: u32,
-    shut_until: Millis,
+    /// Reclaimed targets in the list at the last decision.
+    last_reclaimed: u32,
+    /// End of the backoff after an order for which no targets were available.
+    backoff_until: Millis,
 }
 
-/// What a data centre needs for a service, in slots.
-struct Shortage<'a> {
+/// A data centre's demand for a service, in slots.
+struct SlotDemand<'a> {
     dc: &'a Dc,
-    /// Lacking for interactive requests.
-    interactive: u32,
-    /// Needed for interactive requests.
-    needed: u32,
+    /// Missing slots for interactive requests.
+    interactive_shortage: u32,
+    /// Slots needed for interactive requests.
+    interactive_needed: u32,
     service: &'a ServiceName,
-    slots: u32,
-    /// Lacking for training.
-    training: u32,
-    /// In use or wanted at once by training.
-    wished: u32,
+    slots_per_target: u32,
+    /// Missing slots for training.
+    training_shortage: u32,
+    /// Slots with which all training samples would run at once.
+    training_wanted: u32,
 }
 
 impl Scaling {
-    /// Makes a policy that remembers nothing.
+    /// Creates a policy without any observations.
     pub fn new(rules: ScalingRules) -> Self {
         Self {
             awaited: AwaitedTargets::default(),
-            last: None,
-            noted: Offset::default(),
-            ordered: BTreeMap::new(),
-            places: BTreeMap::new(),
+            last_decision: None,
+            next_outcome: Offset::default(),
+            recent_orders: BTreeMap::new(),
+            class_states: BTreeMap::new(),
             rules,
-            services: BTreeMap::new(),
+            service_states: BTreeMap::new(),
         }
     }
 
-    /// Says which orders to give now. Every candidate follows along, so that a successor remembers
-    /// what its predecessor knew.
+    /// Returns the orders to send now. Every lease candidate calls this, so that a new lease holder
+    /// has made the same observations as its predecessor.
     pub fn decide(&mut self, view: ScalingView<'_>, now: Millis) -> Vec<ScalingOrder> {
-        let span = self.last.map_or(Millis::ZERO, |last| now - last);
-        self.last = Some(now);
-        self.note_outcomes(view.orders, now);
+        let elapsed = self.last_decision.map_or(Millis::ZERO, |last| now - last);
+        self.last_decision = Some(now);
+        self.apply_outcomes(view.orders, now);
         let targets = self.awaited.expected(view.targets, now);
         let view = ScalingView {
             targets: &targets,
             ..view
         };
-        self.note_reclaims(view);
+        self.count_reclaims(view);
         let mut orders = Vec::new();
         for dc in view.configuration.dcs.keys() {
-            self.keep_bounds(view, dc, now, &mut orders);
+            self.enforce_bounds(view, dc, now, &mut orders);
             for service in view.configuration.services.keys() {
-                self.balance(view, dc, service, (span, now), &mut orders);
+                self.scale_service(view, dc, service, (elapsed, now), &mut orders);
             }
         }
         orders
     }
 
-    // --- Memory
-
-    fn note_outcomes(&mut self, book: &OrderTable, now: Millis) {
+    fn apply_outcomes(&mut self, table: &OrderTable, now: Millis) {
         let rules = self.rules;
-        for closed in book
+        for closed in table
             .closed
             .iter()
-            .filter(|closed| closed.offset.next() > self.noted)
+            .filter(|closed| closed.offset.next() > self.next_outcome)
         {
-            let place = (closed.intent.dc.clone(), closed.intent.class.clone());
-            let memory = self.places.entry(place).or_default();
+            let class_key = (closed.intent.dc.clone(), closed.intent.class.clone());
+            let state = self.class_states.entry(class_key).or_default();
             match &closed.outcome {
                 OrderOutcome::NoneAvailable => {
-                    let doubled = rules.backoff.0 << memory.none.min(16);
-                    memory.none += 1;
-                    memory.shut_until = now + Millis(doubled).min(rules.backoff_most);
+                    let delay_ms = rules.min_backoff.0 << state.unavailable.min(16);
+                    state.unavailable += 1;
+                    state.backoff_until = now + Millis(delay_ms).min(rules.max_backoff);
                 }
                 OrderOutcome::Done(names) => {
-                    memory.none = 0;
+                    state.unavailable = 0;
                     self.awaited
-                        .note(&closed.intent, names, now + rules.list_lag);
+                        .add(&closed.intent, names, now + rules.max_list_lag);
                 }
                 OrderOutcome::Fenced(_) | OrderOutcome::Revoked => {}
             }
         }
-        if let Some(last) = book.closed.back() {
-            self.noted = last.offset.next();
+        if let Some(last) = table.closed.back() {
+            self.next_outcome = last.offset.next();
         }
     }
 
-    fn note_reclaims(&mut self, view: ScalingView<'_>) {
-        for ((dc, class), memory) in &mut self.places {
-            let reclaimed = count(view, dc, class, TargetPhase::Reclaimed);
-            memory.reclaims += reclaimed.saturating_sub(memory.reclaimed);
-            memory.reclaimed = reclaimed;
+    fn count_reclaims(&mut self, view: ScalingView<'_>) {
+        for ((dc, class), state) in &mut self.class_states {
+            let reclaimed = count_targets(view, dc, class, TargetPhase::Reclaimed);
+            state.reclaims += reclaimed.saturating_sub(state.last_reclaimed);
+            state.last_reclaimed = reclaimed;
         }
     }
 
-    // --- Bounds
-
-    fn keep_bounds(
+    fn enforce_bounds(
         &mut self,
         view: ScalingView<'_>,
         dc: &Dc,
@@ -185,54 +188,57 @@
         orders: &mut Vec<ScalingOrder>,
     ) {
         for class in view.configuration.classes.keys() {
-            let counted = count(view, dc, class, TargetPhase::Active) + starting(view, dc, class);
+            let total = count_targets(view, dc, class, TargetPhase::Active)
+                + count_starting(view, dc, class);
             let (floor, ceiling) = bounds(view, dc, class);
-            if counted < floor {
-                let action = TargetAction::Start(floor - counted);
-                self.order(view, dc, class, (action, OrderReason::Floor), now, orders);
-            } else if counted > ceiling {
-                let names = idle_names(view, dc, class, counted - ceiling);
+            if total < floor {
+                let action = TargetAction::Start(floor - total);
+                self.try_order(view, dc, class, (action, OrderReason::Floor), now, orders);
+            } else if total > ceiling {
+                let names = active_names(view, dc, class, total - ceiling);
                 let action = TargetAction::Stop(names);
-                self.order(view, dc, class, (action, OrderReason::Ceiling), now, orders);
+                self.try_order(view, dc, class, (action, OrderReason::Ceiling), now, orders);
             }
         }
     }
 
-    // --- Balance
-
-    fn balance(
+    fn scale_service(
         &mut self,
         view: ScalingView<'_>,
         dc: &Dc,
         service: &ServiceName,
-        (span, now): (Millis, Millis),
+        (elapsed, now): (Millis, Millis),
         orders: &mut Vec<ScalingOrder>,
     ) {
-        let Some(shortage) = self.shortage(view, dc, service, span) else {
+        let Some(demand) = self.slot_demand(view, dc, service, elapsed) else {
             return;
         };
         let key = (dc.clone(), service.clone());
-        if shortage.interactive + shortage.training == 0 {
-            self.service(&key).waited = 0;
-            self.stop_idle(view, &shortage, (span, now), orders);
+        if demand.interactive_shortage + demand.training_shortage == 0 {
+            self.service_state(&key).lost_value = 0;
+            self.stop_idle(view, &demand, (elapsed, now), orders);
             return;
         }
         for (class, _) in classes_of(view, service) {
-            let memory = self.places.entry((dc.clone(), class.clone())).or_default();
-            memory.idle_cost = 0;
+            let state = self
+                .class_states
+                .entry((dc.clone(), class.clone()))
+                .or_default();
+            state.idle_cost = 0;
         }
-        let Some((class, rules)) = self.cheapest(view, &shortage, now) else {
+        let Some((class, rules)) = self.cheapest(view, &demand, now) else {
             return;
         };
         let price = self.price(dc, class, rules);
-        let worth = self.rules.interactive_worth;
-        let weighed = u64::from(shortage.interactive) * worth + u64::from(shortage.training);
-        let lost = weighed * price * span.0 / u64::from(shortage.slots);
-        let memory = self.service(&key);
-        memory.waited = memory.waited.saturating_add(lost);
-        let is_worth = memory.waited >= price * rules.start_ms;
+        let weight = self.rules.interactive_weight;
+        let weighted =
+            u64::from(demand.interactive_shortage) * weight + u64::from(demand.training_shortage);
+        let loss = weighted * price * elapsed.0 / u64::from(demand.slots_per_target);
+        let state = self.service_state(&key);
+        state.lost_value = state.lost_value.saturating_add(loss);
+        let is_break_even = state.lost_value >= price * rules.start_ms;
         let reclaimed = has_reclaimed(view, dc, service);
-        if !reclaimed && !is_worth {
+        if !reclaimed && !is_break_even {
             return;
         }
         let reason = if reclaimed {
@@ -240,110 +246,116 @@
         } else {
             OrderReason::Worth
         };
-        let wanted = if shortage.interactive > 0 {
-            shortage.interactive.div_ceil(shortage.slots)
+        let wanted = if demand.interactive_shortage > 0 {
+            demand
+                .interactive_shortage
+                .div_ceil(demand.slots_per_target)
         } else {
-            shortage.training.div_ceil(shortage.slots)
+            demand.training_shortage.div_ceil(demand.slots_per_target)
         };
-        let most = if rules.reclaimable {
+        let limit = if rules.reclaimable {
             self.reclaimable_room(view, service)
-        } else if shortage.interactive == 0 && self.has_reclaimable(view, dc, service, now) {
-            self.kept_share(view, service, wanted)
+        } else if demand.interactive_shortage == 0 && self.has_reclaimable(view, dc, service, now) {
+            self.non_reclaimable_share(view, service, wanted)
         } else {
             wanted
         };
-        let action = TargetAction::Start(wanted.min(most).min(room(view, dc, class)));
-        if self.order(view, dc, class, (action, reason), now, orders) {
-            self.service(&key).waited = 0;
+        let action =
+            TargetAction::Start(wanted.min(limit).min(room_below_ceiling(view, dc, class)));
+        if self.try_order(view, dc, class, (action, reason), now, orders) {
+            self.service_state(&key).lost_value = 0;
         }
     }
 
-    fn shortage<'a>(
+    fn slot_demand<'a>(
         &mut self,
         view: ScalingView<'a>,
         dc: &'a Dc,
         service: &'a ServiceName,
-        span: Millis,
-    ) -> Option<Shortage<'a>> {
+        elapsed: Millis,
+    ) -> Option<SlotDemand<'a>> {
         let rules = self.rules;
-        let slots = view.configuration.services.get(service)?.slots.max(1);
+        let slots_per_target = view.configuration.services.get(service)?.slots.max(1);
         let load = view
             .loads
             .iter()
             .find(|load| load.dc == *dc && load.service == *service);
         let (interactive, training) = load.map_or((0, 0), |load| (load.interactive, load.training));
-        let all = slots * capacity(view, dc, service);
-        let kept = slots * kept_capacity(view, dc, service);
-        let memory = self.service(&(dc.clone(), service.clone()));
-        memory.note(interactive, training, (all, span), &rules);
-        let peak = memory.peak.ceil() as u32;
-        let needed = peak + peak * rules.headroom_percent / 100;
-        let wished = memory.training_slots(training, &rules);
-        Some(Shortage {
+        let all_slots = slots_per_target * capacity(view, dc, service);
+        let interactive_slots = slots_per_target * interactive_capacity(view, dc, service);
+        let state = self.service_state(&(dc.clone(), service.clone()));
+        state.observe(interactive, training, (all_slots, elapsed), &rules);
+        let peak = state.peak.ceil() as u32;
+        let interactive_needed = peak + peak * rules.headroom_percent / 100;
+        let training_needed = state.training_slots(training, &rules);
+        Some(SlotDemand {
             dc,
-            interactive: needed.saturating_sub(kept),
-            needed,
+            interactive_shortage: interactive_needed.saturating_sub(interactive_slots),
+            interactive_needed,
             service,
-            slots,
-            training: wished.saturating_sub(all.saturating_sub(needed)),
-            wished: training,
+            slots_per_target,
+            training_shortage: training_needed
+                .saturating_sub(all_slots.saturating_sub(interactive_needed)),
+            training_wanted: training,
         })
     }
 
-    fn service(&mut self, key: &(Dc, ServiceName)) -> &mut ServiceMemory {
-        self.services.entry(key.clone()).or_default()
+    fn service_state(&mut self, key: &(Dc, ServiceName)) -> &mut ServiceState {
+        self.service_states.entry(key.clone()).or_default()
     }
 
     fn stop_idle(
         &mut self,
         view: ScalingView<'_>,
-        spare: &Shortage<'_>,
-        (span, now): (Millis, Millis),
+        demand: &SlotDemand<'_>,
+        (elapsed, now): (Millis, Millis),
         orders: &mut Vec<ScalingOrder>,
     ) {
-        let used = (spare.needed + spare.wished).div_ceil(spare.slots);
-        let idle = capacity(view, spare.dc, spare.service).saturating_sub(used);
-        let interactive = spare.needed.div_ceil(spare.slots);
-        let kept = kept_capacity(view, spare.dc, spare.service).saturating_sub(interactive);
+        let used =
+            (demand.interactive_needed + demand.training_wanted).div_ceil(demand.slots_per_target);
+        let idle = capacity(view, demand.dc, demand.service).saturating_sub(used);
+        let interactive_used = demand.interactive_needed.div_ceil(demand.slots_per_target);
+        let interactive_idle =
+            interactive_capacity(view, demand.dc, demand.service).saturating_sub(interactive_used);
         let surplus = |class: &ClassName, rules: &ClassRules| {
-            let counted = count(view, spare.dc, class, TargetPhase::Active);
-            let above = counted.saturating_sub(bounds(view, spare.dc, class).0);
-            above.min(if rules.reclaimable {
+            let active = count_targets(view, demand.dc, class, TargetPhase::Active);
+            let above_floor = active.saturating_sub(bounds(view, demand.dc, class).0);
+            above_floor.min(if rules.reclaimable {
                 idle
             } else {
-                idle.min(kept)
+                idle.min(interactive_idle)
             })
         };
-        let costliest = classes_of(view, spare.service)
+        let costliest = classes_of(view, demand.service)
             .filter(|(class, rules)| surplus(class, rules) > 0)
-            .max_by_key(|(class, rules)| self.price(spare.dc, class, rules));
+            .max_by_key(|(class, rules)| self.price(demand.dc, class, rules));
         let Some((class, rules)) = costliest else {
             return;
         };
-        let place = (spare.dc.clone(), class.clone());
-        let price = self.price(spare.dc, class, rules);
-        let memory = self.places.entry(place).or_default();
-        memory.idle_cost = memory.idle_cost.saturating_add(price * span.0);
-        if memory.idle_cost < price * rules.start_ms.max(self.rules.cooling.0) {
+        let class_key = (demand.dc.clone(), class.clone());
+        let price = self.price(demand.dc, class, rules);
+        let state = self.class_states.entry(class_key).or_default();
+        state.idle_cost = state.idle_cost.saturating_add(price * elapsed.0);
+        if state.idle_cost < price * rules.start_ms.max(self.rules.cooldown.0) {
             return;
         }
-        let names = idle_names(view, spare.dc, class, surplus(class, rules));
+        let names = active_names(view, demand.dc, class, surplus(class, rules));
         let change = (TargetAction::Stop(names), OrderReason::Idle);
-        self.order(view, spare.dc, class, change, now, orders);
+        self.try_order(view, demand.dc, class, change, now, orders);
     }
 
-    // --- Orders
-
-    fn is_open(&self, dc: &Dc, class: &ClassName, pause: Millis, now: Millis) -> bool {
-        self.places
+    /// Returns whether the backoff has ended and the last order is at least `interval` ago.
+    fn may_order(&self, dc: &Dc, class: &ClassName, interval: Millis, now: Millis) -> bool {
+        self.class_states
             .get(&(dc.clone(), class.clone()))
-            .is_none_or(|memory| {
-                now >= memory.shut_until && memory.ordered.is_none_or(|at| now >= at + pause)
+            .is_none_or(|state| {
+                now >= state.backoff_until && state.last_order.is_none_or(|at| now >= at + interval)
             })
     }
 
-    /// Adds an order if the data centre's rate and the class's cooling allow it.
-    fn order(
+    /// Adds an order and returns true if the data centre's rate limit and the class's minimum
+    /// interval allow it, and no order for the class is open.
+    fn try_order(
         &mut self,
         view: ScalingView<'_>,
         dc: &Dc,
@@ -361,23 +373,28 @@
             .open
             .iter()
             .any(|open| open.intent.dc == *dc && open.intent.class == *class);
-        let pause = match reason {
-            OrderReason::Floor | OrderReason::Ceiling | OrderReason::Reclaimed => self.rules.settle,
-            OrderReason::Idle | OrderReason::Worth => self.rules.cooling,
+        let interval = match reason {
+            OrderReason::Floor | OrderReason::Ceiling | OrderReason::Reclaimed => {
+                self.rules.restore_interval
+            }
+            OrderReason::Idle | OrderReason::Worth => self.rules.cooldown,
         };
-        if is_empty || is_pending || !self.is_open(dc, class, pause, now) {
+        if is_empty || is_pending || !self.may_order(dc, class, interval, now) {
             return false;
         }
         let per_minute = view.configuration.dcs[dc].orders_per_minute as usize;
-        let ordered = self.ordered.entry(dc.clone()).or_default();
-        ordered.retain(|at| now - *at < MINUTE);
-        if ordered.len() >= per_minute {
+        let recent = self.recent_orders.entry(dc.clone()).or_default();
+        recent.retain(|at| now - *at < MINUTE);
+        if recent.len() >= per_minute {
             return false;
         }
-        ordered.push_back(now);
-        let memory = self.places.entry((dc.clone(), class.clone())).or_default();
-        memory.ordered = Some(now);
-        memory.idle_cost = 0;
+        recent.push_back(now);
+        let state = self
+            .class_states
+            .entry((dc.clone(), class.clone()))
+            .or_default();
+        state.last_order = Some(now);
+        state.idle_cost = 0;
         orders.push(ScalingOrder {
             action,
             class: class.clone(),
--- a/crates/godwitspool-version/src/scaling/shares.rs
+++ b/crates/godwitspool-version/src/scaling/shares.rs
@@ -1,70 +1,76 @@
-//! Which class to start, at which price, and how many of what can be reclaimed.
+//! Which class of targets to start, at which price, and how many of them may be reclaimable.
 
 use godwitspool_types::{ClassName, Dc, Millis, ServiceName};
 
-use super::{Scaling, Shortage};
+use super::{Scaling, SlotDemand};
 use crate::{
     ClassRules, ScalingView,
-    scaling_view::{classes_of, count_service, has_kept, room},
+    scaling_view::{classes_of, count_service, has_non_reclaimable, room_below_ceiling},
 };
 
 impl Scaling {
-    /// Returns a class's price in a data centre, with the risk of being reclaimed.
+    /// Returns the price of a class in a data centre, with a surcharge for each of up to ten
+    /// reclaims.
     pub(super) fn price(&self, dc: &Dc, class: &ClassName, rules: &ClassRules) -> u64 {
         let reclaims = self
-            .places
+            .class_states
             .get(&(dc.clone(), class.clone()))
-            .map_or(0, |memory| u64::from(memory.reclaims.min(10)));
-        let percent = 100 + reclaims * self.rules.reclaim_percent;
+            .map_or(0, |state| u64::from(state.reclaims.min(10)));
+        let percent = 100 + reclaims * self.rules.reclaim_surcharge_percent;
         rules.cost_per_hour.max(1) * percent / 100
     }
 
-    /// Finds the cheapest class that may be started, at its price with risk.
+    /// Returns the class with the lowest price of those that may be started. For interactive
+    /// requests, a service that has a non-reclaimable class uses only such classes.
     pub(super) fn cheapest<'a>(
         &self,
         view: ScalingView<'a>,
-        shortage: &Shortage<'_>,
+        demand: &SlotDemand<'_>,
         now: Millis,
     ) -> Option<(&'a ClassName, &'a ClassRules)> {
-        let dc = shortage.dc;
-        classes_of(view, shortage.service)
+        let dc = demand.dc;
+        classes_of(view, demand.service)
             .filter(|(class, _)| {
-                self.is_open(dc, class, self.rules.settle, now) && room(view, dc, class) > 0
+                self.may_order(dc, class, self.rules.restore_interval, now)
+                    && room_below_ceiling(view, dc, class) > 0
             })
             .filter(|(_, rules)| {
                 !rules.reclaimable
-                    || (shortage.interactive == 0 || !has_kept(view, shortage.service))
-                        && self.reclaimable_room(view, shortage.service) > 0
+                    || (demand.interactive_shortage == 0
+                        || !has_non_reclaimable(view, demand.service))
+                        && self.reclaimable_room(view, demand.service) > 0
             })
             .min_by_key(|(class, rules)| self.price(dc, class, rules))
     }
 
-    /// Counts the reclaimable targets that may be added while the service keeps enough that can't be
-    /// reclaimed.
+    /// Returns how many reclaimable targets may be added without exceeding their maximum
+    /// percentage. There is no limit for a service whose classes are all reclaimable.
     pub(super) fn reclaimable_room(&self, view: ScalingView<'_>, service: &ServiceName) -> u32 {
-        if !has_kept(view, service) {
+        if !has_non_reclaimable(view, service) {
             return u32::MAX;
         }
-        let percent = self.rules.reclaimable_percent.min(99);
-        let kept = count_service(view, service, false);
-        let most = kept * percent / (100 - percent);
-        most.saturating_sub(count_service(view, service, true))
+        let percent = self.rules.max_reclaimable_percent.min(99);
+        let non_reclaimable = count_service(view, service, false);
+        let max_reclaimable = non_reclaimable * percent / (100 - percent);
+        max_reclaimable.saturating_sub(count_service(view, service, true))
     }
 
-    /// Counts the targets that can't be reclaimed among those to be added, so that reclaimable ones may
-    /// do the rest.
-    pub(super) fn kept_share(
+    /// Returns how many of the targets to be added, at least one, must be non-reclaimable so that
+    /// reclaimable ones may make up the rest.
+    pub(super) fn non_reclaimable_share(
         &self,
         view: ScalingView<'_>,
         service: &ServiceName,
         wanted: u32,
     ) -> u32 {
-        let kept = count_service(view, service, false);
-        let total = kept + count_service(view, service, true) + wanted;
-        let share = total * (100 - self.rules.reclaimable_percent.min(100));
-        share.div_ceil(100).saturating_sub(kept).max(1)
+        let non_reclaimable = count_service(view, service, false);
+        let total = non_reclaimable + count_service(view, service, true) + wanted;
+        let share = total * (100 - self.rules.max_reclaimable_percent.min(100));
+        share.div_ceil(100).saturating_sub(non_reclaimable).max(1)
     }
 
+    /// Returns whether the service has a reclaimable class that is below its ceiling and not in
+    /// backoff.
     pub(super) fn has_reclaimable(
         &self,
         view: ScalingView<'_>,
@@ -73,10 +79,10 @@
         now: Millis,
     ) -> bool {
         classes_of(view, service).any(|(class, rules)| {
-            let place = (dc.clone(), class.clone());
-            let memory = self.places.get(&place);
-            let is_shut = memory.is_some_and(|memory| now < memory.shut_until);
-            rules.reclaimable && !is_shut && room(view, dc, class) > 0
+            let class_key = (dc.clone(), class.clone());
+            let state = self.class_states.get(&class_key);
+            let is_backing_off = state.is_some_and(|state| now < state.backoff_until);
+            rules.reclaimable && !is_backing_off && room_below_ceiling(view, dc, class) > 0
         })
     }
 }
--- a/crates/godwitspool-version/tests/scaling.rs
+++ b/crates/godwitspool-version/tests/scaling.rs
@@ -1,4 +1,4 @@
-//! The scaling policy against floors, bursts, idleness, reclaims and empty markets.
+//! Tests the scaling policy with floors, bursts, idle targets, reclaims and unavailable targets.
 
 use godwitspool_types::{ClassName, Dc, Millis, Offset, RequestId, TargetName, Term};
 use godwitspool_version::{
@@ -9,19 +9,21 @@
 use rstest::rstest;
 
 const SLOTS: u32 = 4;
-const START: Millis = Millis(20_000);
-const STEP: Millis = Millis(500);
+const START_TIME: Millis = Millis(20_000);
+const DECISION_INTERVAL: Millis = Millis(500);
 
-/// A fleet that carries each order out at once.
+/// A simulated fleet that executes each order immediately.
 struct Fleet {
     book: OrderTable,
     configuration: Configuration,
-    /// Set while the platform's list doesn't show what was started.
-    hidden: bool,
+    /// Whether the platform's list omits all targets.
+    is_list_empty: bool,
     loads: Vec<ServiceLoad>,
-    log: Vec<(Millis, ScalingOrder)>,
+    /// Orders so far, with their times.
+    order_log: Vec<(Millis, ScalingOrder)>,
     next: u64,
     now: Millis,
+    /// Outcome of every order instead of executing it.
     outcome: Option<OrderOutcome>,
     scaling: Scaling,
     targets: Vec<ObservedTarget>,
@@ -35,7 +37,7 @@
                 cost_per_hour: cost,
                 reclaimable,
                 service: "s".into(),
-                start_ms: START.0,
+                start_ms: START_TIME.0,
                 ..ClassRules::default()
             };
             configuration.classes.insert(class.into(), rules);
@@ -54,9 +56,9 @@
         Self {
             book: OrderTable::default(),
             configuration,
-            hidden: false,
+            is_list_empty: false,
             loads: Vec::new(),
-            log: Vec::new(),
+            order_log: Vec::new(),
             next: 0,
             now: Millis(0),
             outcome: None,
@@ -77,21 +79,25 @@
     fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
-            self.now = self.now + STEP;
+            self.now = self.now + DECISION_INTERVAL;
             let view = ScalingView {
                 configuration: &self.configuration,
                 loads: &self.loads,
                 orders: &self.book,
-                targets: if self.hidden { &[] } else { &self.targets },
+                targets: if self.is_list_empty {
+                    &[]
+                } else {
+                    &self.targets
+                },
             };
             for order in self.scaling.decide(view, self.now) {
-                self.carry_out(&order);
-                self.log.push((self.now, order));
+                self.execute(&order);
+                self.order_log.push((self.now, order));
             }
         }
     }
 
-    fn carry_out(&mut self, order: &ScalingOrder) {
+    fn execute(&mut self, order: &ScalingOrder) {
         self.next += 1;
         let id = OrderId(RequestId(u128::from(self.next)));
         let intent = OrderIntent {
@@ -105,13 +111,13 @@
         assert!(self.book.open(Offset(self.next), &intent, Some(Term(1))));
         let outcome = match self.outcome.clone() {
             Some(outcome) => outcome,
-            None => OrderOutcome::Done(self.change(order)),
+            None => OrderOutcome::Done(self.apply(order)),
         };
         self.next += 1;
         assert!(self.book.close(Offset(self.next), id, &outcome));
     }
 
-    fn change(&mut self, order: &ScalingOrder) -> Vec<TargetName> {
+    fn apply(&mut self, order: &ScalingOrder) -> Vec<TargetName> {
         match &order.action {
             TargetAction::Start(targets) => {
                 let names = (0..*targets).map(|index| format!("t{}-{index}", self.next).into());
@@ -145,7 +151,7 @@
     let mut fleet = Fleet::new(3, 10);
     fleet.run(Millis(300_000));
     assert_eq!(fleet.count("kept"), 3);
-    assert_eq!(fleet.log.len(), 1);
+    assert_eq!(fleet.order_log.len(), 1);
 }
 
 #[rstest]
@@ -156,14 +162,14 @@
     fleet.outcome = Some(OrderOutcome::Revoked);
     fleet.load(interactive, training);
     fleet.run(Millis(240_000));
-    for (at, _) in &fleet.log {
+    for (at, _) in &fleet.order_log {
         let window = fleet
-            .log
+            .order_log
             .iter()
             .filter(|(other, _)| *other <= *at && *at - *other < Millis(60_000));
-        assert!(window.count() <= 2, "{:?}", fleet.log);
+        assert!(window.count() <= 2, "{:?}", fleet.order_log);
     }
-    assert!(!fleet.log.is_empty());
+    assert!(!fleet.order_log.is_empty());
 }
 
 #[test]
@@ -173,26 +179,26 @@
     fleet.run(Millis(120_000));
     assert!(fleet.count("kept") > 2);
     fleet.load(0, 0);
-    // A peak is forgotten over half an hour.
+    // The peak of interactive requests decays over half an hour.
     for _ in 0..20_000 {
-        fleet.run(STEP);
+        fleet.run(DECISION_INTERVAL);
         assert!(fleet.count("kept") >= 2);
     }
     assert_eq!(fleet.count("kept"), 2);
 }
 
 #[test]
-fn a_burst_shorter_than_its_worth_moves_nothing() {
+fn a_burst_below_break_even_causes_no_order() {
     let mut fleet = Fleet::new(1, 60);
-    fleet.run(STEP);
-    let before = fleet.log.len();
+    fleet.run(DECISION_INTERVAL);
+    let before = fleet.order_log.len();
     for _ in 0..20 {
         fleet.load(0, SLOTS + 1);
         fleet.run(Millis(4_000));
         fleet.load(0, 0);
         fleet.run(Millis(4_000));
     }
-    assert_eq!(fleet.log.len(), before, "{:?}", fleet.log);
+    assert_eq!(fleet.order_log.len(), before, "{:?}", fleet.order_log);
 }
 
 #[test]
@@ -205,14 +211,14 @@
         fleet.run(Millis(5_000));
     }
     let stops = fleet
-        .log
+        .order_log
         .iter()
         .filter(|(_, order)| order.reason == OrderReason::Idle);
-    assert_eq!(stops.count(), 0, "{:?}", fleet.log);
+    assert_eq!(stops.count(), 0, "{:?}", fleet.order_log);
 }
 
 #[test]
-fn what_can_be_resumed_goes_to_cheap_targets_but_never_all() {
+fn training_uses_reclaimable_targets_but_not_only_those() {
     let mut fleet = Fleet::new(1, 60);
     fleet.load(0, 324);
     fleet.run(Millis(600_000));
@@ -225,7 +231,7 @@
 }
 
 #[test]
-fn interactive_work_goes_to_targets_that_stay() {
+fn interactive_work_uses_no_reclaimable_targets() {
     let mut fleet = Fleet::new(0, 60);
     fleet.load(30, 0);
     fleet.run(Millis(120_000));
@@ -234,11 +240,15 @@
 }
 
 #[test]
-fn an_empty_market_is_asked_less_and_less() {
+fn orders_back_off_while_no_targets_are_available() {
     let mut fleet = Fleet::new(1, 60);
     fleet.outcome = Some(OrderOutcome::NoneAvailable);
     fleet.run(Millis(600_000));
-    let times = fleet.log.iter().map(|(at, _)| *at).collect::<Vec<_>>();
+    let times = fleet
+        .order_log
+        .iter()
+        .map(|(at, _)| *at)
+        .collect::<Vec<_>>();
     let gaps = times
         .windows(2)
         .map(|pair| pair[1] - pair[0])
@@ -255,23 +265,23 @@
     let mut fleet = Fleet::new(2, 60);
     fleet.load(0, 180);
     fleet.run(Millis(300_000));
-    let before = fleet.log.len();
+    let before = fleet.order_log.len();
     for seen in &mut fleet.targets {
         if seen.class == ClassName::from("cheap") {
             seen.phase = TargetPhase::Reclaimed;
         }
     }
-    fleet.run(STEP);
-    let order = &fleet.log[before].1;
+    fleet.run(DECISION_INTERVAL);
+    let order = &fleet.order_log[before].1;
     assert_eq!(order.reason, OrderReason::Reclaimed);
     assert!(matches!(order.action, TargetAction::Start(targets) if targets > 0));
     assert_eq!(order.dc, Dc::from("d"));
 }
 
 #[test]
-fn a_list_that_lags_doubles_no_order() {
+fn a_lagging_list_causes_no_duplicate_order() {
     let mut fleet = Fleet::new(3, 60);
-    fleet.hidden = true;
+    fleet.is_list_empty = true;
     fleet.run(Millis(20_000));
-    assert_eq!(fleet.log.len(), 1, "{:?}", fleet.log);
+    assert_eq!(fleet.order_log.len(), 1, "{:?}", fleet.order_log);
 }
