--- a/crates/godwitspool-version/src/append_budget.rs
+++ b/crates/godwitspool-version/src/append_budget.rs
@@ -1,4 +1,4 @@
-//! How much each stream of records may append, and how appends are batched.
+//! Rate limits on appends, per stream of records, and the batching of appends.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,7 +6,7 @@
 
 use crate::{Record, RecordBody};
 
-/// Streams of records, each with an append budget of its own.
+/// Streams of records, each with its own append budget.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Stream {
     /// Configuration, keys and quarantine.
@@ -24,7 +24,7 @@
 }
 
 impl Stream {
-    /// Every stream, in the order in which batches take from them.
+    /// All streams, in order of priority: batches are filled from the first ones first.
     pub const ALL: [Self; 6] = [
         Self::Lease,
         Self::Configuration,
@@ -34,7 +34,7 @@
         Self::Snapshot,
     ];
 
-    /// Returns the stream of a record.
+    /// Returns the stream to which a record belongs.
     pub fn of(body: &RecordBody) -> Self {
         match body {
             RecordBody::Publish(_)
@@ -72,18 +72,18 @@
     }
 }
 
-/// Bounds of one stream on one host.
+/// Limits of one stream on one host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StreamLimits {
-    /// Records that may go at once after a rest.
+    /// Maximum number of records that may be appended at once after a period without appends.
     pub burst: u64,
-    /// Records a minute.
+    /// Maximum number of records per minute.
     pub per_minute: u64,
-    /// Records that may wait; more are refused.
-    pub queue: usize,
+    /// Maximum number of records that wait. More are refused.
+    pub max_queued: usize,
 }
 
-/// Queues records by stream and lets them go in batches within each stream's budget.
+/// Queues records by stream and hands them out in batches, within each stream's budget.
 ///
 /// ```
 /// use godwitspool_types::Millis;
@@ -97,78 +97,81 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct AppendBudget {
-    batch: usize,
+    max_batch: usize,
     streams: BTreeMap<Stream, StreamQueue>,
 }
 
 #[derive(Clone, Debug)]
 struct StreamQueue {
     counts: AppendCounts,
-    filled: Millis,
-    rate: StreamLimits,
-    /// In 60,000ths of a record, so that a millisecond at one record a minute adds one.
-    tokens: u64,
+    refilled_at: Millis,
+    limits: StreamLimits,
+    /// Unused budget in 60,000ths of a record, so that one millisecond at one record per minute
+    /// adds one unit.
+    budget_units: u64,
     waiting: VecDeque<Record>,
 }
 
-/// What became of a stream's records.
+/// Counts of a stream's records.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct AppendCounts {
-    /// Records let go.
+    /// Records that were handed out to be appended.
     pub appended: u64,
-    /// Records refused, because too many waited.
+    /// Records that were refused because too many waited.
     pub refused: u64,
-    /// Records that wait.
+    /// Records that are waiting.
     pub waiting: u64,
 }
 
-const TOKEN: u64 = 60_000;
-const MAX_BATCH: usize = 64;
+/// Budget units that one record costs.
+const UNITS_PER_RECORD: u64 = 60_000;
+const MAX_BATCH_RECORDS: usize = 64;
 
 impl Default for AppendBudget {
     fn default() -> Self {
-        let rate = |per_minute, burst, queue| StreamLimits {
+        let limits = |per_minute, burst, max_queued| StreamLimits {
             burst,
             per_minute,
-            queue,
+            max_queued,
         };
         Self::new([
-            (Stream::Configuration, rate(600, 100, 1_000)),
-            (Stream::Lease, rate(600, 30, 64)),
-            (Stream::Order, rate(600, 60, 1_000)),
-            (Stream::Snapshot, rate(1_200, 400, 4_000)),
-            (Stream::Usage, rate(120, 20, 1_000)),
-            (Stream::Weights, rate(120, 20, 100)),
+            (Stream::Configuration, limits(600, 100, 1_000)),
+            (Stream::Lease, limits(600, 30, 64)),
+            (Stream::Order, limits(600, 60, 1_000)),
+            (Stream::Snapshot, limits(1_200, 400, 4_000)),
+            (Stream::Usage, limits(120, 20, 1_000)),
+            (Stream::Weights, limits(120, 20, 100)),
         ])
     }
 }
 
 impl AppendBudget {
-    /// Makes a budget with a rate for each stream; a stream without one may not append.
-    pub fn new(rates: impl IntoIterator<Item = (Stream, StreamLimits)>) -> Self {
-        let queue = |rate: StreamLimits| StreamQueue {
+    /// Creates a budget with limits for each stream. A stream without limits may not append.
+    pub fn new(limits: impl IntoIterator<Item = (Stream, StreamLimits)>) -> Self {
+        let queue = |limits: StreamLimits| StreamQueue {
             counts: AppendCounts::default(),
-            filled: Millis::ZERO,
-            rate,
-            tokens: rate.burst * TOKEN,
+            refilled_at: Millis::ZERO,
+            limits,
+            budget_units: limits.burst * UNITS_PER_RECORD,
             waiting: VecDeque::new(),
         };
         Self {
-            batch: MAX_BATCH,
-            streams: rates
+            max_batch: MAX_BATCH_RECORDS,
+            streams: limits
                 .into_iter()
-                .map(|(stream, rate)| (stream, queue(rate)))
+                .map(|(stream, limits)| (stream, queue(limits)))
                 .collect(),
         }
     }
 
-    /// Queues a record; refused when too many of its stream wait.
+    /// Queues a record. Returns false if the record is refused, because too many records of its
+    /// stream are waiting.
     pub fn offer(&mut self, record: Record) -> bool {
         let stream = Stream::of(&record.body);
         let Some(queue) = self.streams.get_mut(&stream) else {
             return false;
         };
-        if queue.waiting.len() >= queue.rate.queue {
+        if queue.waiting.len() >= queue.limits.max_queued {
             queue.counts.refused += 1;
             return false;
         }
@@ -176,19 +179,19 @@
         true
     }
 
-    /// Takes the records that may be appended now, those of leases first.
+    /// Removes and returns the records that may be appended now, those of leases first.
     pub fn take_batch(&mut self, now: Millis) -> Vec<Record> {
         let mut batch = Vec::new();
         for stream in Stream::ALL {
             if let Some(queue) = self.streams.get_mut(&stream) {
-                queue.fill(now);
-                queue.take(&mut batch, self.batch);
+                queue.refill(now);
+                queue.take(&mut batch, self.max_batch);
             }
         }
         batch
     }
 
-    /// Returns what became of each stream's records.
+    /// Returns the counts of each stream's records.
     pub fn counts(&self) -> BTreeMap<Stream, AppendCounts> {
         let counts = |queue: &StreamQueue| AppendCounts {
             waiting: queue.waiting.len() as u64,
@@ -202,21 +205,21 @@
 }
 
 impl StreamQueue {
-    fn fill(&mut self, now: Millis) {
-        let span = now - self.filled;
-        self.filled = self.filled.max(now);
-        let filled = self
-            .tokens
-            .saturating_add(span.0.saturating_mul(self.rate.per_minute));
-        self.tokens = filled.min(self.rate.burst * TOKEN);
+    fn refill(&mut self, now: Millis) {
+        let elapsed = now - self.refilled_at;
+        self.refilled_at = self.refilled_at.max(now);
+        let refilled = self
+            .budget_units
+            .saturating_add(elapsed.0.saturating_mul(self.limits.per_minute));
+        self.budget_units = refilled.min(self.limits.burst * UNITS_PER_RECORD);
     }
 
-    fn take(&mut self, batch: &mut Vec<Record>, most: usize) {
-        while batch.len() < most && self.tokens >= TOKEN {
+    fn take(&mut self, batch: &mut Vec<Record>, max_records: usize) {
+        while batch.len() < max_records && self.budget_units >= UNITS_PER_RECORD {
             let Some(record) = self.waiting.pop_front() else {
                 return;
             };
-            self.tokens -= TOKEN;
+            self.budget_units -= UNITS_PER_RECORD;
             self.counts.appended += 1;
             batch.push(record);
         }
--- a/crates/godwitspool-version/src/lib.rs
+++ b/crates/godwitspool-version/src/lib.rs
@@ -1,19 +1,20 @@
-//! What lives for a version: configuration, log fold, lease terms, target orders, usage windows and
-//! weight versions.
+//! State that is folded from the log: configuration, leases, target orders, usage windows and
+//! weight versions, with the decisions that are based on it.
 //!
-//! Everything here is plain data and pure functions. The log's records are folded by offset into
-//! one [`Configuration`] and the states beside it; no clock, socket or lock is used.
+//! The crate contains only data types and computations on them. The log's records are folded, in
+//! order of offset, into the [`Configuration`] and the other state in [`Fold`]. No clock, socket or
+//! lock is used; functions take the current time as an argument.
 //!
-//! | module's main type | what it is |
+//! | type | purpose |
 //! |---|---|
 //! | [`Record`] | one record of the log |
-//! | [`Fold`] | what the records up to an offset have put in force |
-//! | [`LeaseCandidate`] | what one host does to get, keep and use a lease |
-//! | [`OrderTable`], [`WindowTable`] | target orders and usage windows as folded |
-//! | [`Scaling`], [`OrderDispatcher`] | which orders to give, and when to send them |
-//! | [`HeldUsage`], [`usage_steps`] | usage on its way into windows and reports |
-//! | [`SnapshotParts`], [`SnapshotCadence`] | snapshots read and written |
-//! | [`AppendBudget`] | what each stream of records may append |
+//! | [`Fold`] | the state in force after the records up to an offset |
+//! | [`LeaseCandidate`] | the state machine by which a host claims, renews and uses a lease |
+//! | [`OrderTable`], [`WindowTable`] | target orders and usage windows, folded from the log |
+//! | [`Scaling`], [`OrderDispatcher`] | which target orders are needed, and when to send them |
+//! | [`HeldUsage`], [`usage_steps`] | usage until it is sealed, frozen and reported |
+//! | [`SnapshotParts`], [`SnapshotCadence`] | assembling snapshots, and when to write them |
+//! | [`AppendBudget`] | rate limits on appends, per stream of records |
 
 mod append_budget;
 mod awaited_targets;
--- a/crates/godwitspool-version/tests/append_budget.rs
+++ b/crates/godwitspool-version/tests/append_budget.rs
@@ -1,4 +1,4 @@
-//! The append budget and the cadence of snapshots.
+//! Tests the append budget and the conditions under which snapshots are written.
 
 use godwitspool_types::{Millis, Offset};
 use godwitspool_version::{
@@ -7,10 +7,10 @@
 };
 use rstest::rstest;
 
-const RATE: StreamLimits = StreamLimits {
+const LIMITS: StreamLimits = StreamLimits {
     burst: 3,
     per_minute: 60,
-    queue: 200,
+    max_queued: 200,
 };
 
 fn lift() -> Record {
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_stream_keeps_to_its_rate_and_loses_nothing() {
-    let mut budget = AppendBudget::new([(Stream::Configuration, RATE)]);
+    let mut budget = AppendBudget::new([(Stream::Configuration, LIMITS)]);
     for _ in 0..100 {
         assert!(budget.offer(lift()));
     }
@@ -41,7 +41,7 @@
 
 #[test]
 fn leases_go_before_a_flood_of_another_stream() {
-    let mut budget = AppendBudget::new([(Stream::Configuration, RATE), (Stream::Lease, RATE)]);
+    let mut budget = AppendBudget::new([(Stream::Configuration, LIMITS), (Stream::Lease, LIMITS)]);
     for _ in 0..100 {
         budget.offer(lift());
     }
@@ -52,9 +52,9 @@
 
 #[test]
 fn a_full_queue_refuses_and_counts() {
-    let mut budget = AppendBudget::new([(Stream::Configuration, RATE)]);
+    let mut budget = AppendBudget::new([(Stream::Configuration, LIMITS)]);
     let taken = (0..300).filter(|_| budget.offer(lift())).count();
-    assert_eq!(taken, RATE.queue);
+    assert_eq!(taken, LIMITS.max_queued);
     assert_eq!(budget.counts()[&Stream::Configuration].refused, 100);
 }
 
