--- a/crates/godwitspool-version/src/coverage.rs
+++ b/crates/godwitspool-version/src/coverage.rs
@@ -28,6 +28,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 struct LifeCoverage {
     spans: Vec<Span>,
+    /// Latest window in which a seal covered requests of the incarnation.
     window: u64,
 }
 
--- a/crates/godwitspool-version/src/window_table.rs
+++ b/crates/godwitspool-version/src/window_table.rs
@@ -9,7 +9,7 @@
 use crate::{Coverage, UsageFigures, UsageSeal, WindowFrozen};
 
 const MAX_REPORTED_WINDOWS: usize = 64;
-/// Age at which the coverage of an incarnation is removed.
+/// For this many windows after its last seal, the coverage of an incarnation is kept.
 const COVERAGE_RETENTION_WINDOWS: u64 = 2_880;
 
 /// Usage windows, as folded from the log.
