--- a/crates/godwitspool-version/src/candidate.rs
+++ b/crates/godwitspool-version/src/candidate.rs
@@ -1,4 +1,4 @@
-//! What one host does to get, keep and use a lease.
+//! The state machine by which a host claims, renews and uses a lease.
 
 use std::collections::VecDeque;
 
@@ -7,75 +7,77 @@
 
 use crate::{HostLife, Lease, LeaseKind, LeaseRecord, LeaseStep, RecordId};
 
-const MAX_PENDING: usize = 8;
+const MAX_PENDING_APPENDS: usize = 8;
 
-/// Times of a lease.
+/// Durations that a lease depends on.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LeaseRules {
-    /// How long others wait beyond the term, for clocks that run at different rates.
-    pub margin: Millis,
-    /// Longest time from the last check before an order to the order's effect.
-    pub order_life: Millis,
+    /// Time that other hosts wait beyond the duration, because clocks run at different rates.
+    pub clock_margin: Millis,
+    /// Longest time from the last check before an order until the order has taken effect.
+    pub order_timeout: Millis,
     /// Time between renewals.
-    pub renewal: Millis,
-    /// How long a claim or renewal is good for, from before it was sent.
-    pub term: Millis,
+    pub renewal_interval: Millis,
+    /// How long a claim or renewal is valid, counted from before it was sent.
+    pub duration: Millis,
 }
 
 impl Default for LeaseRules {
     fn default() -> Self {
         Self {
-            margin: Millis(150),
-            order_life: Millis(1_000),
-            renewal: Millis(700),
-            term: Millis(2_500),
+            clock_margin: Millis(150),
+            order_timeout: Millis(1_000),
+            renewal_interval: Millis(700),
+            duration: Millis(2_500),
         }
     }
 }
 
-/// Something that a candidate learns.
+/// An input of [`LeaseCandidate::decide`].
 #[derive(Clone, Copy, Debug)]
 pub enum LeaseEvent<'a> {
     /// A record of the log was read.
     Read {
-        /// The record's identity.
+        /// Identifier of the record.
         id: RecordId,
-        /// Its offset.
+        /// Offset of the record in the log.
         offset: Offset,
-        /// What it says.
+        /// Content of the record.
         record: &'a LeaseRecord,
     },
-    /// Time has passed; `ready` tells whether the host may stand as a candidate now.
+    /// Time has passed.
     Tick {
-        /// Set when the log has been read to its end lately.
+        /// Whether the host has read the log to its end recently. The candidate claims and renews
+        /// the lease only if this is set.
         ready: bool,
     },
-    /// The host leaves and gives the lease up.
+    /// The host shuts down and releases the lease.
     Leave,
 }
 
-/// What a candidate wants done.
+/// An output of [`LeaseCandidate::decide`], which the caller carries out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseAction {
-    /// Appends the record. When the answer is lost, the same record may be sent again.
+    /// Append the record. If the result of the append is unknown, the same record may be appended
+    /// again.
     Append {
-        /// The record's identity.
+        /// Identifier of the record.
         id: RecordId,
-        /// What it says.
+        /// Content of the record.
         record: LeaseRecord,
     },
-    /// Tells that a term began on this host.
+    /// A term of this host began.
     Began(Term),
-    /// Tells that this host's term ended.
+    /// The term of this host ended.
     Ended(Term),
 }
 
-/// One host's part in a lease.
+/// One host's state machine for one lease.
 ///
-/// The holder counts its validity from before it sent the claim or renewal, and only once it has
-/// read that record back. Others wait the term and the margin from when they read the last record.
-/// A new holder waits out the life of its predecessor's orders before it acts, so targets that
-/// ignore the fencing token are safe too.
+/// The holder counts the validity from before it sent the claim or renewal, but relies on it only
+/// after it has read that record back. Other hosts wait for the lease's duration and the clock
+/// margin from when they read the last record. A new holder doesn't act until the orders of its
+/// predecessor have timed out, so targets that ignore the fencing token are safe too.
 ///
 /// ```
 /// use godwitspool_types::{Millis, Offset, Term};
@@ -90,7 +92,7 @@
 /// let [LeaseAction::Append { id, record }] = &actions[..] else { panic!("no claim") };
 /// candidate.decide(LeaseEvent::Read { id: *id, offset: Offset(9), record }, now);
 /// assert_eq!(candidate.may_act(now), None);
-/// now = now + rules.order_life + rules.margin;
+/// now = now + rules.order_timeout + rules.clock_margin;
 /// assert_eq!(candidate.may_act(now), Some(Term(9)));
 /// ```
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -100,8 +102,8 @@
     lease: Lease,
     life: HostLife,
     pending: VecDeque<Pending>,
-    quiet_until: Millis,
-    rank_wait: Millis,
+    act_from: Millis,
+    claim_delay: Millis,
     read_at: Millis,
     rules: LeaseRules,
     sequence: u64,
@@ -115,7 +117,7 @@
 }
 
 impl LeaseCandidate {
-    /// Makes a candidate that knows nothing of the lease yet.
+    /// Creates a candidate that has read no lease record yet.
     pub fn new(kind: LeaseKind, life: HostLife, rules: LeaseRules) -> Self {
         Self {
             kind,
@@ -123,8 +125,8 @@
             lease: Lease::default(),
             life,
             pending: VecDeque::new(),
-            quiet_until: Millis::ZERO,
-            rank_wait: Millis::ZERO,
+            act_from: Millis::ZERO,
+            claim_delay: Millis::ZERO,
             read_at: Millis::ZERO,
             rules,
             sequence: 0,
@@ -132,16 +134,16 @@
         }
     }
 
-    /// Goes on from a lease that a snapshot gave, which counts as read now.
-    pub fn restart_from(&mut self, lease: Lease, now: Millis) {
+    /// Replaces the lease by the one from a snapshot, which counts as read now.
+    pub fn restore(&mut self, lease: Lease, now: Millis) {
         self.lease = lease;
         self.read_at = now;
     }
 
-    /// Sets how much longer than the first in line this candidate waits, so that not all claim at
-    /// once.
-    pub fn set_rank_wait(&mut self, wait: Millis) {
-        self.rank_wait = wait;
+    /// Sets how much longer this candidate waits before it claims an expired lease, so that hosts
+    /// don't all claim at the same time.
+    pub fn set_claim_delay(&mut self, delay: Millis) {
+        self.claim_delay = delay;
     }
 
     /// Returns the lease as this host has read it.
@@ -149,7 +151,7 @@
         &self.lease
     }
 
-    /// Takes in an event and says what to do.
+    /// Handles an event and returns what to do.
     pub fn decide(&mut self, event: LeaseEvent<'_>, now: Millis) -> Vec<LeaseAction> {
         match event {
             LeaseEvent::Read { id, offset, record } => self.read(id, offset, record, now),
@@ -159,19 +161,19 @@
         }
     }
 
-    /// Returns the term if the host may act under it now.
+    /// Returns the term if this host may act under the lease now.
     ///
-    /// This is the last check before the write of an order: after a pause of the process it fails,
-    /// since the time that is passed in has moved on.
+    /// This is the last check before an order is written. It fails after a pause of the process
+    /// that outlasts the lease, because `now` is past the end of the validity.
     pub fn may_act(&self, now: Millis) -> Option<Term> {
         let own = self.own_term()?;
-        (!self.leaving && now >= self.quiet_until && now < self.valid_until).then_some(own)
+        (!self.leaving && now >= self.act_from && now < self.valid_until).then_some(own)
     }
 
-    /// Returns how long an order that is sent now may take at most.
-    pub fn order_life(&self, now: Millis) -> Millis {
+    /// Returns the timeout for an order that is sent now, or zero if this host may not act.
+    pub fn order_timeout(&self, now: Millis) -> Millis {
         match self.may_act(now) {
-            Some(_) => self.rules.order_life,
+            Some(_) => self.rules.order_timeout,
             None => Millis::ZERO,
         }
     }
@@ -194,7 +196,7 @@
         self.read_at = now;
         let own = self.own_term();
         if let (Some(_), Some(sent)) = (own, sent) {
-            self.valid_until = self.valid_until.max(sent + self.rules.term);
+            self.valid_until = self.valid_until.max(sent + self.rules.duration);
         }
         match (before, own) {
             (before, Some(term)) if before != Some(term) => {
@@ -210,8 +212,8 @@
     }
 
     fn begin(&mut self, sent: Option<Millis>, now: Millis) {
-        self.valid_until = sent.map_or(Millis::ZERO, |sent| sent + self.rules.term);
-        self.quiet_until = now + self.rules.order_life + self.rules.margin;
+        self.valid_until = sent.map_or(Millis::ZERO, |sent| sent + self.rules.duration);
+        self.act_from = now + self.rules.order_timeout + self.rules.clock_margin;
     }
 
     fn tick(&mut self, ready: bool, now: Millis) -> Vec<LeaseAction> {
@@ -237,21 +239,21 @@
     }
 
     fn claimable_at(&self) -> Millis {
-        self.read_at + self.rules.term + self.rules.margin + self.rank_wait
+        self.read_at + self.rules.duration + self.rules.clock_margin + self.claim_delay
     }
 
     fn is_send_due(&self, now: Millis) -> bool {
         self.pending
             .back()
-            .is_none_or(|last| now >= last.sent + self.rules.renewal)
+            .is_none_or(|last| now >= last.sent + self.rules.renewal_interval)
             && (self.own_term().is_none()
-                || now + self.rules.term >= self.valid_until + self.rules.renewal)
+                || now + self.rules.duration >= self.valid_until + self.rules.renewal_interval)
     }
 
     fn append(&mut self, step: LeaseStep, now: Millis) -> LeaseAction {
         self.sequence += 1;
         let id = self.record_id();
-        if self.pending.len() == MAX_PENDING {
+        if self.pending.len() == MAX_PENDING_APPENDS {
             self.pending.pop_front();
         }
         self.pending.push_back(Pending { id, sent: now });
--- a/crates/godwitspool-version/src/lib.rs
+++ b/crates/godwitspool-version/src/lib.rs
@@ -1,19 +1,20 @@
-//! What lives for a version: configuration, log fold, lease terms, target orders, usage windows and
-//! weight versions.
+//! State that is folded from the log: configuration, leases, target orders, usage windows and
+//! weight versions, with the decisions that are based on it.
 //!
-//! Everything here is plain data and pure functions. The log's records are folded by offset into
-//! one [`Configuration`] and the states beside it; no clock, socket or lock is used.
+//! The crate contains only data types and computations on them. The log's records are folded, in
+//! order of offset, into the [`Configuration`] and the other state in [`Fold`]. No clock, socket or
+//! lock is used; functions take the current time as an argument.
 //!
-//! | module's main type | what it is |
+//! | type | purpose |
 //! |---|---|
 //! | [`Record`] | one record of the log |
-//! | [`Fold`] | what the records up to an offset have put in force |
-//! | [`LeaseCandidate`] | what one host does to get, keep and use a lease |
-//! | [`OrderBook`], [`WindowBook`] | target orders and usage windows as folded |
-//! | [`Scaling`], [`OrderDesk`] | which orders to give, and when to send them |
-//! | [`HeldUsage`], [`usage_steps`] | usage on its way into windows and reports |
-//! | [`SnapshotParts`], [`SnapshotCadence`] | snapshots read and written |
-//! | [`AppendBudget`] | what each stream of records may append |
+//! | [`Fold`] | the state in force after the records up to an offset |
+//! | [`LeaseCandidate`] | the state machine by which a host claims, renews and uses a lease |
+//! | [`OrderTable`], [`WindowTable`] | target orders and usage windows, folded from the log |
+//! | [`Scaling`], [`OrderDispatcher`] | which target orders are needed, and when to send them |
+//! | [`HeldUsage`], [`usage_steps`] | usage until it is sealed, frozen and reported |
+//! | [`SnapshotParts`], [`SnapshotCadence`] | assembling snapshots, and when to write them |
+//! | [`AppendBudget`] | rate limits on appends, per stream of records |
 
 mod append_budget;
 mod awaited_targets;
@@ -23,17 +24,17 @@
 mod coverage;
 mod fold;
 mod lease;
-mod order_book;
-mod order_desk;
+mod order_dispatch;
+mod order_table;
 mod record;
 mod scaling;
 mod scaling_rules;
 mod scaling_view;
 mod snapshot;
-mod usage_desk;
-mod window_book;
+mod usage;
+mod window_table;
 
-pub use append_budget::{AppendBudget, AppendCounts, Stream, StreamRate};
+pub use append_budget::{AppendBudget, AppendCounts, Stream, StreamLimits};
 pub use candidate::{LeaseAction, LeaseCandidate, LeaseEvent, LeaseRules};
 pub use change::ConfigurationChange;
 pub use configuration::{
@@ -43,8 +44,8 @@
 pub use coverage::Coverage;
 pub use fold::{Change, Fold, FoldCounts, FoldError, RecordOutcome};
 pub use lease::{Lease, LeaseHolder};
-pub use order_book::{ClosedOrder, OpenOrder, OrderBook};
-pub use order_desk::{OrderDesk, OrderStep, OrderTimes};
+pub use order_dispatch::{OrderDispatcher, OrderStep, OrderTimes};
+pub use order_table::{ClosedOrder, OpenOrder, OrderTable};
 pub use record::{
     DecodeError, HostLife, LeaseKind, LeaseRecord, LeaseStep, OrderId, OrderIntent, OrderOutcome,
     OrderReason, Publish, Record, RecordBody, RecordId, SnapshotPart, TargetAction, UsageFigures,
@@ -52,9 +53,9 @@
 };
 pub use scaling::{Scaling, ScalingOrder};
 pub use scaling_rules::ScalingRules;
-pub use scaling_view::{ScalingView, ServiceLoad, TargetPhase, TargetSeen};
+pub use scaling_view::{ObservedTarget, ScalingView, ServiceLoad, TargetPhase};
 pub use snapshot::{
     SnapshotCadence, SnapshotError, SnapshotParts, SnapshotPosition, snapshot_records,
 };
-pub use usage_desk::{HeldUsage, RequestUsage, UsageStep, UsageView, usage_steps};
-pub use window_book::{SealedFigures, WindowBook, WindowState, sum_figures};
+pub use usage::{HeldUsage, RequestUsage, UsageStep, UsageView, usage_steps};
+pub use window_table::{SealedFigures, WindowState, WindowTable, sum_figures};
