--- a/crates/godwitspool-host/src/process/duties.rs
+++ b/crates/godwitspool-host/src/process/duties.rs
@@ -201,7 +201,7 @@
             return;
         };
         let now = self.shared.clock.now();
-        let named = self.shared.named();
+        let named = self.shared.newest_versions();
         let mut orders: Vec<LoadOrder> = Vec::new();
         {
             let fleet = self.shared.fleet();
@@ -305,7 +305,7 @@
     fn report_usage(&mut self, term: &mut Term) -> Result<(), StoreError> {
         let now = unix_ms();
         let shared = Arc::clone(&self.shared);
-        let late_ms = shared.settings.window_due.as_millis() as u64;
+        let late_ms = shared.settings.usage_deadline.as_millis() as u64;
         if let Some(report) = term.freezing.take() {
             self.freeze(term, report)?;
         }
@@ -424,7 +424,7 @@
                 break;
             }
         }
-        let late_ms = self.shared.settings.window_due.as_millis() as u64;
+        let late_ms = self.shared.settings.usage_deadline.as_millis() as u64;
         let usage = &self.shared.usage;
         term.counts
             .retain(|window, _| usage.end_ms(*window) + late_ms >= now);
@@ -462,7 +462,7 @@
         if draining && unsent.is_empty() {
             return;
         }
-        let length = shared.settings.window.as_millis() as u64;
+        let length = shared.settings.usage_window.as_millis() as u64;
         let pause = if unsent.is_empty() && !draining {
             Duration::from_millis(length - now % length) + Duration::from_millis(50)
         } else {
--- a/crates/godwitspool-host/src/process/host.rs
+++ b/crates/godwitspool-host/src/process/host.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    Edges, Shared, calls,
+    Adapters, Shared, calls,
     duties::{Desk, Holder, append_usage},
     membership::Membership,
     tails,
@@ -44,8 +44,8 @@
     /// # Errors
     ///
     /// When an address can't be bound or a thread can't be started.
-    pub fn start(settings: Settings, edges: Edges) -> io::Result<Self> {
-        let shared = Arc::new(Shared::new(settings, edges)?);
+    pub fn start(settings: Settings, adapters: Adapters) -> io::Result<Self> {
+        let shared = Arc::new(Shared::new(settings, adapters)?);
         let settings = &shared.settings;
         log::info!(
             host:% = settings.host, dc:% = settings.dc, front:% = settings.front,
--- a/crates/godwitspool-host/src/process/mod.rs
+++ b/crates/godwitspool-host/src/process/mod.rs
@@ -14,6 +14,6 @@
 pub use host::Host;
 pub use relay::Relay;
 pub use reports::{LoadNotice, Notice, RunReport};
-pub use shared::{Edges, Shared, unix_ms};
+pub use shared::{Adapters, Shared, unix_ms};
 pub use tails::news_wait;
 pub use usage::UsageBook;
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -103,8 +103,8 @@
             sender,
             number: sent.number,
             running: running.into_iter().collect(),
-            owned: shared.book.owned(),
-            named: shared.named().into_iter().collect(),
+            owned: shared.owned_batches.owned(),
+            named: shared.newest_versions().into_iter().collect(),
         };
         report.running.sort();
         report.named.sort();
@@ -151,10 +151,10 @@
             match postcard::from_bytes::<Notice>(&bytes[..length]) {
                 Ok(Notice::Runs(report)) => {
                     for (part, epoch) in &report.owned {
-                        shared.book.yield_to(*part, *epoch);
+                        shared.owned_batches.yield_to(*part, *epoch);
                     }
                     for (model, version) in &report.named {
-                        shared.hear_version(model, *version, "another host");
+                        shared.learn_version(model, *version, "another host");
                     }
                     shared.fleet().report(&report, now);
                 }
--- a/crates/godwitspool-host/src/process/shared.rs
+++ b/crates/godwitspool-host/src/process/shared.rs
@@ -22,9 +22,9 @@
     version::{Configuration, Fleet, Mirror},
 };
 
-/// The process's edges.
+/// The process's adapters.
 #[derive(Clone)]
-pub struct Edges {
+pub struct Adapters {
     /// What the platform's messages mean.
     pub dialect: Arc<dyn Dialect>,
     /// The platform's calls of one host at a time.
@@ -33,9 +33,9 @@
     pub store: Arc<dyn Store>,
 }
 
-impl fmt::Debug for Edges {
+impl fmt::Debug for Adapters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Edges").finish_non_exhaustive()
+        f.debug_struct("Adapters").finish_non_exhaustive()
     }
 }
 
@@ -55,7 +55,7 @@
     /// Idle connections to targets and hosts.
     pub pool: Arc<Pool>,
     /// Batches of the owned partitions.
-    pub book: Arc<Book>,
+    pub owned_batches: Arc<Book>,
     /// Requests counted for usage.
     pub usage: UsageBook,
     /// Other hosts.
@@ -113,7 +113,7 @@
     /// # Errors
     ///
     /// When no pipe can be opened.
-    pub fn new(settings: Settings, edges: Edges) -> io::Result<Self> {
+    pub fn new(settings: Settings, adapters: Adapters) -> io::Result<Self> {
         let metrics = Metrics::default();
         let answers = metrics.reasons("answers", "Requests by how they ended");
         let answer_seconds = metrics.seconds("answer_seconds", "Times from request to answer");
@@ -129,12 +129,12 @@
         let incarnation = rand::random::<u32>();
         let member = format!("{}#{incarnation:08x}", settings.peer);
         Ok(Self {
-            book: Arc::new(Book::new(settings.store.parts)?),
+            owned_batches: Arc::new(Book::new(settings.store.parts)?),
             clock: Clock::start(),
             configuration: RwLock::default(),
-            dialect: edges.dialect,
+            dialect: adapters.dialect,
             draining: AtomicBool::new(false),
-            duties: edges.duties,
+            duties: adapters.duties,
             fleet: Mutex::default(),
             incarnation,
             member,
@@ -152,7 +152,7 @@
             peers: Peers::default(),
             pool: Arc::default(),
             store: Arc::new(Relay::new(
-                edges.store,
+                adapters.store,
                 &settings.seeds,
                 own,
                 RelayMetrics {
@@ -160,7 +160,7 @@
                     seconds: call_seconds,
                 },
             )),
-            usage: UsageBook::new(settings.window),
+            usage: UsageBook::new(settings.usage_window),
             settings,
         })
     }
@@ -193,7 +193,7 @@
     }
 
     /// Returns the newest version of each model.
-    pub fn named(&self) -> HashMap<ModelName, u64> {
+    pub fn newest_versions(&self) -> HashMap<ModelName, u64> {
         self.named
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -211,7 +211,7 @@
 
     /// Records a version of which a batch or another host tells, before the operators' record of it
     /// has arrived.
-    pub fn hear_version(&self, model: &ModelName, version: u64, source: &str) {
+    pub fn learn_version(&self, model: &ModelName, version: u64, source: &str) {
         if self.name_version(model, version) {
             log::info!(model:%, version, source; "version heard of");
             self.announce();
@@ -225,7 +225,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner) += 1;
         self.news.notify_all();
-        self.book.waker.wake();
+        self.owned_batches.waker.wake();
     }
 
     /// Waits for news, up to a time.
--- a/crates/godwitspool-host/src/process/tails.rs
+++ b/crates/godwitspool-host/src/process/tails.rs
@@ -46,7 +46,7 @@
 pub fn follow(shared: &Arc<Shared>, topic: Topic) {
     let mut failed: Option<Millis> = None;
     let mut away = false;
-    let wait = news_wait(shared.settings.apply);
+    let wait = news_wait(shared.settings.apply_timeout);
     loop {
         let next = mirrors(shared)[index(topic)].next();
         let fetched = Mirror::fetch(shared.store.as_ref(), topic, next, wait);
--- a/crates/godwitspool-host/src/settings.rs
+++ b/crates/godwitspool-host/src/settings.rs
@@ -24,15 +24,15 @@
     /// Time from SIGTERM to SIGKILL.
     pub grace: Duration,
     /// How long after its acknowledgement a configuration must be in force.
-    pub apply: Duration,
+    pub apply_timeout: Duration,
     /// A duty's former holder acts again no sooner than this after its last act.
     pub lease: Duration,
     /// Whether targets and the platform refuse fencing tokens lower than one already seen.
     pub fenced: bool,
     /// Length of a usage window.
-    pub window: Duration,
+    pub usage_window: Duration,
     /// How long after its end a window may be reported.
-    pub window_due: Duration,
+    pub usage_deadline: Duration,
     /// How long a batch stays readable after its submission.
     pub batch_ttl: Duration,
     /// Bounds of the store.
