--- a/crates/godwitspool-host/src/http/connection.rs
+++ b/crates/godwitspool-host/src/http/connection.rs
@@ -7,56 +7,57 @@
 
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 
-/// Bytes that one read takes from the socket.
-const READ_BYTES: usize = 16 * 1024;
-/// A peer whose acknowledgements fail to come for so long is gone; below the contact bound of three
-/// seconds that operators commonly set.
-const USER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Idle time before a probe of a silent connection, and between probes.
-const KEEPALIVE: Duration = Duration::from_secs(2);
+/// Maximum number of bytes taken from the socket per read.
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// A connection whose sent data stays unacknowledged for this long is closed (`TCP_USER_TIMEOUT`).
+/// Operators commonly require a dead peer to be detected within 3 s; this is below that.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Idle time before the first TCP keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A socket that doesn't block, with the bytes that arrived and weren't decoded yet.
+/// A non-blocking TCP connection with its input buffer.
 #[derive(Debug)]
 pub struct Connection {
     socket: TcpStream,
-    /// Bytes that arrived and weren't decoded yet.
+    /// Bytes received but not yet decoded.
     pub input: Vec<u8>,
-    /// When the last exchange on it ended.
+    /// When the last exchange on this connection ended, or when it was created.
     pub idle_since: Instant,
-    /// How long the other side keeps it open while idle, if it said so.
-    pub idle_bound: Option<Duration>,
-    /// Requests sent on it so far.
+    /// How long the peer keeps the connection open while idle, from its `Keep-Alive` header. `None`
+    /// if the peer didn't state it.
+    pub keep_alive_timeout: Option<Duration>,
+    /// Number of requests started on this connection.
     pub requests: u64,
 }
 
-/// What a read found.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Received {
-    /// Bytes were added to the input.
+    /// Bytes were appended to the input buffer.
     Bytes,
-    /// Nothing has arrived.
+    /// No bytes are available now.
     Nothing,
-    /// The other side has closed its end.
+    /// The peer has closed its end.
     End,
 }
 
 impl Connection {
-    /// Takes over an accepted socket.
+    /// Wraps an accepted socket and sets its options.
     ///
     /// # Errors
     ///
-    /// When the socket is broken already.
+    /// When a socket option can't be set, for example because the peer has already disconnected.
     pub fn accepted(socket: TcpStream) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
-        set_bounds(&SockRef::from(&socket))?;
+        set_options(&SockRef::from(&socket))?;
         Ok(Self::new(socket))
     }
 
-    /// Begins to connect; the socket becomes writable once the attempt has ended.
+    /// Starts connecting. The socket becomes writable once the attempt has succeeded or failed.
     ///
     /// # Errors
     ///
-    /// When the attempt fails at once.
+    /// When the attempt fails immediately.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -64,10 +65,10 @@
             Some(Protocol::TCP),
         )?;
         socket.set_nonblocking(true)?;
-        set_bounds(&SockRef::from(&socket))?;
+        set_options(&SockRef::from(&socket))?;
         match socket.connect(&address.into()) {
             Ok(()) => {}
-            Err(error) if error.raw_os_error() == Some(IN_PROGRESS) => {}
+            Err(error) if error.raw_os_error() == Some(EINPROGRESS) => {}
             Err(error) if error.kind() == ErrorKind::WouldBlock => {}
             Err(error) => return Err(error),
         }
@@ -79,16 +80,16 @@
             socket,
             input: Vec::new(),
             idle_since: Instant::now(),
-            idle_bound: None,
+            keep_alive_timeout: None,
             requests: 0,
         }
     }
 
-    /// Returns why the connection attempt failed, if it did.
+    /// Checks whether the connection attempt has failed.
     ///
     /// # Errors
     ///
-    /// With the reason of the failure.
+    /// The error with which the attempt failed.
     pub fn check_connected(&self) -> io::Result<()> {
         match self.socket.take_error()? {
             Some(error) => Err(error),
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Reads what has arrived.
+    /// Appends available bytes to the input buffer.
     ///
     /// # Errors
     ///
-    /// When the connection was reset.
+    /// When the read fails, for example after a connection reset.
     pub fn receive(&mut self) -> io::Result<Received> {
         let length = self.input.len();
-        self.input.resize(length + READ_BYTES, 0);
+        self.input.resize(length + MAX_READ_BYTES, 0);
         let read = self.socket.read(&mut self.input[length..]);
         let received = *read.as_ref().unwrap_or(&0);
         self.input.truncate(length + received);
@@ -115,11 +116,12 @@
         }
     }
 
-    /// Sends what the socket takes and returns how many bytes that were.
+    /// Writes as many bytes as the socket accepts and returns their number, 0 if the write would
+    /// block.
     ///
     /// # Errors
     ///
-    /// When the connection is broken.
+    /// When the connection has failed.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self.socket.write(bytes) {
             Ok(sent) => Ok(sent),
@@ -128,10 +130,10 @@
         }
     }
 
-    /// Tells whether an idle connection can carry another request: nothing has arrived on it, and
-    /// its idle bound isn't near.
+    /// Returns whether an idle connection can carry another request: no bytes have arrived on it,
+    /// and less than three quarters of the peer's keep-alive timeout have passed.
     pub fn is_reusable(&mut self) -> bool {
-        let fresh = match self.idle_bound {
+        let fresh = match self.keep_alive_timeout {
             Some(bound) => self.idle_since.elapsed() < bound * 3 / 4,
             None => true,
         };
@@ -145,19 +147,19 @@
     }
 }
 
-/// `EINPROGRESS`, which the standard library has no stable name for.
-const IN_PROGRESS: i32 = 115;
+/// Linux error number; `std::io::ErrorKind` has no stable variant for it.
+const EINPROGRESS: i32 = 115;
 
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
-fn set_bounds(socket: &SockRef<'_>) -> io::Result<()> {
+fn set_options(socket: &SockRef<'_>) -> io::Result<()> {
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+    socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(1);
     socket.set_tcp_keepalive(&keepalive)
 }
--- a/crates/godwitspool-host/src/http/decode.rs
+++ b/crates/godwitspool-host/src/http/decode.rs
@@ -1,32 +1,34 @@
-//! Incremental decoding of heads and bodies.
+//! Incremental decoding of message heads and bodies.
 
 use snafu::Snafu;
 
 use super::{Headers, Request, Response};
 
-/// Header fields that a head may hold.
-const FIELDS_MAX: usize = 96;
-/// Digits and extension of a chunk's size line; RFC 9112 leaves the bound to the receiver.
-const CHUNK_LINE_MAX: usize = 256;
+/// Maximum number of header fields in a message head.
+const MAX_HEADER_FIELDS: usize = 96;
+/// Maximum length of a chunk's size line, including extensions. RFC 9112 leaves this limit to the
+/// receiver.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
 
-/// Bytes that are no message of HTTP/1.1.
+/// Received bytes aren't a valid HTTP/1.1 message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum DecodeError {
-    /// The start line or a field is malformed.
-    #[snafu(display("malformed head"))]
+    /// The start line or a header field is malformed, or the head exceeds a limit.
+    #[snafu(display("malformed message head"))]
     Head,
-    /// Length and transfer coding are missing, contradict each other or are malformed.
-    #[snafu(display("malformed framing"))]
+    /// `Content-Length` or `Transfer-Encoding` is malformed or unsupported, or the two conflict; or
+    /// the chunked framing of a body is malformed.
+    #[snafu(display("malformed message framing"))]
     Framing,
 }
 
-/// Decodes a request's head; returns it with its length in bytes, or `None` while it is incomplete.
+/// Decodes a request head. Returns it with its length in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// When the bytes are no head.
+/// When the bytes aren't a valid request head.
 pub fn decode_request(bytes: &[u8]) -> Result<Option<(Request, usize)>, DecodeError> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MAX];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
     match head.parse(bytes).ok().ok_or(DecodeError::Head)? {
         httparse::Status::Partial => Ok(None),
@@ -42,13 +44,13 @@
     }
 }
 
-/// Decodes an answer's head; returns it with its length in bytes, or `None` while it is incomplete.
+/// Decodes a response head. Returns it with its length in bytes, or `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// When the bytes are no head.
+/// When the bytes aren't a valid response head.
 pub fn decode_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, DecodeError> {
-    let mut fields = [httparse::EMPTY_HEADER; FIELDS_MAX];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut fields);
     match head.parse(bytes).ok().ok_or(DecodeError::Head)? {
         httparse::Status::Partial => Ok(None),
@@ -71,44 +73,45 @@
     Headers(fields.iter().map(field).collect())
 }
 
-/// Decodes one body as its bytes arrive.
+/// Incremental decoder of one message body.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BodyDecoder {
-    /// So many bytes are still to come.
+    /// The number of bytes still to be received.
     Length(usize),
-    /// Chunks follow.
-    Chunked(Chunk),
-    /// The body ends where the connection is closed.
+    /// The body uses the chunked transfer coding.
+    Chunked(ChunkState),
+    /// The body ends when the connection is closed.
     UntilClose,
-    /// The body is whole.
+    /// The body is complete.
     Done,
 }
 
-/// Where a chunked body stands.
+/// Which part of a chunked body is decoded next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Chunk {
-    /// A size line is next.
+pub enum ChunkState {
+    /// The size line of a chunk.
     Size,
-    /// So many bytes of a chunk are still to come.
+    /// Data of a chunk, with the number of bytes still to be received.
     Data(usize),
-    /// The line end behind a chunk is next.
+    /// The line end after the data of a chunk.
     End,
-    /// Trailer fields follow the last chunk.
+    /// Trailer fields after the last chunk, up to the empty line.
     Trailer,
 }
 
 impl BodyDecoder {
-    /// Chooses the decoder of a request.
+    /// Returns the decoder for a request's body.
     ///
     /// # Errors
     ///
-    /// When length and coding contradict each other: such a request could be smuggled.
+    /// When `Content-Length` is malformed or repeated, when the transfer coding isn't chunked, or
+    /// when both headers are present. Accepting such a request would allow request smuggling.
     pub fn of_request(headers: &Headers) -> Result<Self, DecodeError> {
-        let coded = headers.get("transfer-encoding").is_some();
-        let lengths: Vec<&str> = lengths(headers).collect();
-        match (coded, lengths.as_slice()) {
+        let has_coding = headers.get("transfer-encoding").is_some();
+        let lengths: Vec<&str> = content_lengths(headers).collect();
+        match (has_coding, lengths.as_slice()) {
             (true, []) if headers.lists("transfer-encoding", "chunked") => {
-                Ok(Self::Chunked(Chunk::Size))
+                Ok(Self::Chunked(ChunkState::Size))
             }
             (false, []) => Ok(Self::Done),
             (false, [length]) => Self::length(length),
@@ -116,19 +119,20 @@
         }
     }
 
-    /// Chooses the decoder of an answer.
+    /// Returns the decoder for the body of a response to a request with the given method.
     ///
     /// # Errors
     ///
-    /// When length and coding contradict each other.
+    /// When `Content-Length` is malformed or repeated, or when it and `Transfer-Encoding` are both
+    /// present.
     pub fn of_response(method: &str, response: &Response) -> Result<Self, DecodeError> {
         if method == "HEAD" || matches!(response.status, 100..=199 | 204 | 304) {
             return Ok(Self::Done);
         }
-        let coded = response.headers.get("transfer-encoding").is_some();
-        let lengths: Vec<&str> = lengths(&response.headers).collect();
-        match (coded, lengths.as_slice()) {
-            (true, []) => Ok(Self::Chunked(Chunk::Size)),
+        let has_coding = response.headers.get("transfer-encoding").is_some();
+        let lengths: Vec<&str> = content_lengths(&response.headers).collect();
+        match (has_coding, lengths.as_slice()) {
+            (true, []) => Ok(Self::Chunked(ChunkState::Size)),
             (false, []) => Ok(Self::UntilClose),
             (false, [length]) => Self::length(length),
             _ => Err(DecodeError::Framing),
@@ -144,16 +148,17 @@
         }
     }
 
-    /// Tells whether the body is whole.
+    /// Returns whether the body is complete.
     pub fn is_done(&self) -> bool {
         *self == Self::Done
     }
 
-    /// Moves what `input` holds of the body to `body`; what follows the body stays in `input`.
+    /// Decodes bytes of `input` and appends them to `body`. Bytes that follow the end of the body
+    /// stay in `input`.
     ///
     /// # Errors
     ///
-    /// When a chunk is malformed.
+    /// When the chunked framing is malformed.
     pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<(), DecodeError> {
         let mut used = 0;
         while let Some(step) = self.step(&input[used..], body)? {
@@ -163,7 +168,8 @@
         Ok(())
     }
 
-    /// Decodes one run of bytes and returns its length; `None` when more bytes are needed.
+    /// Decodes one line or data block and returns the number of bytes consumed, or `None` when the
+    /// body is complete or more input is needed.
     fn step(&mut self, input: &[u8], body: &mut Vec<u8>) -> Result<Option<usize>, DecodeError> {
         let step = match self {
             Self::Done => None,
@@ -181,24 +187,24 @@
                 }
                 Some(taken)
             }
-            Self::Chunked(Chunk::Data(left)) => {
+            Self::Chunked(ChunkState::Data(left)) => {
                 let taken = input.len().min(*left);
                 body.extend_from_slice(&input[..taken]);
                 *left -= taken;
                 if *left == 0 {
-                    *self = Self::Chunked(Chunk::End);
+                    *self = Self::Chunked(ChunkState::End);
                 }
                 Some(taken)
             }
             Self::Chunked(chunk) => {
                 let Some(end) = input.iter().position(|byte| *byte == b'\n') else {
-                    let bounded = input.len() <= CHUNK_LINE_MAX;
+                    let bounded = input.len() <= MAX_CHUNK_LINE_BYTES;
                     return bounded.then_some(None).ok_or(DecodeError::Framing);
                 };
                 let line = input[..end]
                     .strip_suffix(b"\r")
                     .ok_or(DecodeError::Framing)?;
-                *self = chunk.after_line(line)?;
+                *self = chunk.next_state(line)?;
                 Some(end + 1)
             }
         };
@@ -206,8 +212,8 @@
     }
 }
 
-impl Chunk {
-    fn after_line(self, line: &[u8]) -> Result<BodyDecoder, DecodeError> {
+impl ChunkState {
+    fn next_state(self, line: &[u8]) -> Result<BodyDecoder, DecodeError> {
         let next = match self {
             Self::End if line.is_empty() => Self::Size,
             Self::Trailer if line.is_empty() => return Ok(BodyDecoder::Done),
@@ -236,7 +242,7 @@
     }
 }
 
-fn lengths(headers: &Headers) -> impl Iterator<Item = &str> {
+fn content_lengths(headers: &Headers) -> impl Iterator<Item = &str> {
     let fields = headers.0.iter();
     let named = fields.filter(|(name, _)| name.eq_ignore_ascii_case("content-length"));
     named.map(|(_, value)| value.trim())
--- a/crates/godwitspool-host/src/http/exchange.rs
+++ b/crates/godwitspool-host/src/http/exchange.rs
@@ -12,42 +12,42 @@
     decode_response, wait,
 };
 
-/// Bytes of an answer's head; larger ones are malformed.
-const HEAD_MAX: usize = 64 * 1024;
+/// Maximum size of a response head. A larger head is treated as malformed.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// How an exchange failed.
+/// Why an exchange failed.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection came about, so nothing was sent.
+    /// Connecting failed, so nothing was sent.
     #[snafu(display("cannot connect: {source}"))]
     Connect {
-        /// Why.
+        /// The error with which the attempt failed.
         source: io::Error,
     },
-    /// The connection broke or ended too early.
-    #[snafu(display("connection broke: {source}"))]
+    /// The connection failed or was closed before the response was complete.
+    #[snafu(display("connection failed: {source}"))]
     Broken {
-        /// Whether any byte of the request had left.
+        /// Whether any byte of the request had been sent.
         sent: bool,
-        /// Why.
+        /// The error of the socket.
         source: io::Error,
     },
-    /// What came isn't an answer.
+    /// The received bytes aren't a valid HTTP response.
     #[snafu(display("{source}"))]
     Malformed {
-        /// What is wrong.
+        /// Which part of the response is malformed.
         source: DecodeError,
     },
-    /// The time ran out.
+    /// The timeout expired before the response was complete.
     #[snafu(display("no answer in time"))]
     Late {
-        /// Whether any byte of the request had left.
+        /// Whether any byte of the request had been sent.
         sent: bool,
     },
 }
 
 impl CallError {
-    /// Tells whether the other side may have received the request.
+    /// Returns whether the peer may have received the request.
     pub fn was_sent(&self) -> bool {
         match self {
             Self::Connect { .. } => false,
@@ -57,16 +57,16 @@
     }
 }
 
-/// How far an exchange is.
+/// State of an exchange after [`Exchange::advance`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Progress {
-    /// The answer isn't whole yet.
+    /// The response isn't complete yet.
     Pending,
-    /// The answer is whole.
+    /// The response is complete.
     Done,
 }
 
-/// One request on one connection, and its answer as it arrives.
+/// One request on one connection, and the response received so far.
 #[derive(Debug)]
 pub struct Exchange {
     connection: Connection,
@@ -80,7 +80,8 @@
 }
 
 impl Exchange {
-    /// Begins to send a request on a connection.
+    /// Prepares a request to be sent on a connection. Nothing is sent before
+    /// [`advance`](Self::advance).
     pub fn new(mut connection: Connection, request: &Request) -> Self {
         let connecting = connection.requests == 0;
         connection.requests += 1;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Returns the socket and what it waits for.
+    /// Returns the socket and the events to poll for.
     pub fn socket(&self) -> (BorrowedFd<'_>, Interest) {
         let interest = Interest {
             read: !self.connecting,
@@ -106,26 +107,26 @@
         (self.connection.as_fd(), interest)
     }
 
-    /// Returns the head of the answer once it is here.
+    /// Returns the response once its head has been received. The body may still be incomplete.
     pub fn head(&self) -> Option<&Response> {
         self.decoder.as_ref().map(|_| &self.response)
     }
 
-    /// Takes the bytes of the body that have arrived since the last call.
+    /// Takes the bytes of the body that were decoded since the last call.
     pub fn take_body(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.response.body)
     }
 
-    /// Tells whether any byte of the request has left.
+    /// Returns whether any byte of the request has been sent.
     pub fn was_sent(&self) -> bool {
         self.sent > 0
     }
 
-    /// Sends and receives what the socket allows.
+    /// Sends and receives as much as possible without blocking.
     ///
     /// # Errors
     ///
-    /// When the connection breaks or the answer is malformed.
+    /// When the connection fails or the response is malformed.
     pub fn advance(&mut self) -> Result<Progress, CallError> {
         if self.connecting {
             let connected = self.connection.check_connected();
@@ -163,7 +164,7 @@
                     self.connecting = false;
                 }
                 Err(source) if source.kind() == io::ErrorKind::NotConnected => break,
-                // The answer may have arrived before the connection was closed.
+                // The peer may have responded before it closed the connection.
                 Err(_) if self.sent > 0 => break,
                 Err(source) if self.connecting => return Err(CallError::Connect { source }),
                 Err(source) => return Err(self.broken(source)),
@@ -183,7 +184,7 @@
         while self.decoder.is_none() {
             let input = &mut self.connection.input;
             let Some((response, length)) = decode_response(input)? else {
-                return (input.len() <= HEAD_MAX)
+                return (input.len() <= MAX_HEAD_BYTES)
                     .then_some(())
                     .ok_or(DecodeError::Head);
             };
@@ -199,9 +200,10 @@
         }
     }
 
-    /// Passes over an answer that belongs to an earlier request of a kept connection; the own one
-    /// follows it. Returns whether there may be such a thing.
-    pub fn skip_answer(&mut self) -> bool {
+    /// Discards a response that belongs to an earlier request on a reused connection; the response
+    /// to this request may follow it. Returns false and keeps the response if it can't belong to an
+    /// earlier request, if it ended with the connection, or if one was discarded already.
+    pub fn skip_response(&mut self) -> bool {
         let kept = self.connection.requests > 1;
         let framed = !matches!(self.decoder, Some(BodyDecoder::UntilClose));
         let skipped = kept && framed && !self.skipped;
@@ -213,7 +215,7 @@
         skipped
     }
 
-    /// Returns the answer, and the connection if it can carry another request.
+    /// Returns the response, and the connection if it can carry another request.
     pub fn finish(mut self) -> (Response, Option<Connection>) {
         let whole = self.decoder.as_ref().is_some_and(BodyDecoder::is_done)
             && self.sent == self.output.len()
@@ -221,22 +223,22 @@
             && !self.skipped
             && !self.response.headers.lists("connection", "close");
         self.connection.idle_since = Instant::now();
-        self.connection.idle_bound = idle_bound(&self.response);
+        self.connection.keep_alive_timeout = keep_alive_timeout(&self.response);
         (self.response, whole.then_some(self.connection))
     }
 
-    /// Carries a request out and returns the whole answer.
+    /// Sends a request on a pooled or new connection and blocks until the response is complete.
     ///
     /// # Errors
     ///
-    /// When no whole answer comes in time.
+    /// When the exchange fails or no complete response arrives within the timeout.
     pub fn call(
         pool: &Pool,
         address: SocketAddr,
         request: &Request,
         timeout: Duration,
     ) -> Result<Response, CallError> {
-        let due = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         let connection = pool.connect(address);
         let connection = connection.map_err(|source| CallError::Connect { source })?;
         let mut exchange = Self::new(connection, request);
@@ -248,7 +250,7 @@
                 }
                 return Ok(response);
             }
-            let left = due.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Err(CallError::Late {
                     sent: exchange.was_sent(),
@@ -260,8 +262,8 @@
     }
 }
 
-/// Returns the idle bound that a `Keep-Alive` field states.
-fn idle_bound(response: &Response) -> Option<Duration> {
+/// Returns the timeout given in the `Keep-Alive` header.
+fn keep_alive_timeout(response: &Response) -> Option<Duration> {
     let field = response.headers.get("keep-alive")?;
     let mut parameters = field
         .split(',')
--- a/crates/godwitspool-host/src/http/message.rs
+++ b/crates/godwitspool-host/src/http/message.rs
@@ -1,6 +1,6 @@
 use std::fmt;
 
-/// Header fields in the order in which they arrived.
+/// Header fields in the order received, as (name, value) pairs.
 ///
 /// ```
 /// use godwitspool_host::http::Headers;
@@ -13,7 +13,7 @@
 pub struct Headers(pub Vec<(String, String)>);
 
 impl Headers {
-    /// Returns the first value of a field; names compare without regard to case.
+    /// Returns the first value of a field. Names are compared case-insensitively.
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut fields = self.0.iter();
         let field = fields.find(|(field, _)| field.eq_ignore_ascii_case(name));
@@ -25,20 +25,20 @@
         self.0.push((name.into(), value.into()));
     }
 
-    /// Removes every field of a name.
+    /// Removes all fields with a name.
     pub fn remove(&mut self, name: &str) {
         self.0
             .retain(|(field, _)| !field.eq_ignore_ascii_case(name));
     }
 
-    /// Replaces every field of a name by one.
+    /// Replaces all fields with a name by a single one.
     pub fn set(&mut self, name: impl Into<String>, value: impl Into<String>) {
         let name = name.into();
         self.remove(&name);
         self.push(name, value);
     }
 
-    /// Tells whether a comma-separated field lists a token.
+    /// Returns whether a comma-separated field contains a token, compared case-insensitively.
     pub fn lists(&self, name: &str, token: &str) -> bool {
         let fields = self
             .0
@@ -48,7 +48,7 @@
         tokens.any(|listed| listed.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Removes the fields that concern one connection only (RFC 9110, 7.6.1).
+    /// Removes hop-by-hop fields (RFC 9110, section 7.6.1).
     pub fn remove_hop_by_hop(&mut self) {
         let named: Vec<String> = self
             .0
@@ -63,7 +63,7 @@
     }
 }
 
-/// Fields that concern one connection, and the framing that each connection chooses anew.
+/// Hop-by-hop fields, and fields of the message framing, which each connection sets itself.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
@@ -77,14 +77,14 @@
     "upgrade",
 ];
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Request {
-    /// Method.
+    /// Method, such as `POST`.
     pub method: String,
-    /// Path and query.
+    /// Request target: path and query, undecoded.
     pub target: String,
-    /// Header fields.
+    /// Header fields, without those that [`encode`](Self::encode) adds.
     pub headers: Headers,
     /// Body, decoded from its transfer coding.
     pub body: Vec<u8>,
@@ -106,7 +106,7 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Returns a parameter of the query, undecoded.
+    /// Returns the first query parameter with a name, undecoded.
     ///
     /// ```
     /// use godwitspool_host::http::Request;
@@ -120,7 +120,7 @@
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// Returns the bytes of the request as sent on a connection that stays open.
+    /// Returns the bytes of the request, with a `Content-Length` field.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = format!("{} {} HTTP/1.1\r\n", self.method, self.target).into_bytes();
         encode_fields(&mut bytes, &self.headers, Some(self.body.len()));
@@ -129,7 +129,7 @@
     }
 }
 
-/// An answer; `body` is whole unless it is streamed.
+/// A response; `body` is complete unless the response is streamed.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Response {
     /// Status code.
@@ -141,7 +141,7 @@
 }
 
 impl Response {
-    /// Creates an answer without headers.
+    /// Creates a response without headers.
     pub fn new(status: u16, body: impl Into<Vec<u8>>) -> Self {
         Self {
             status,
@@ -156,7 +156,7 @@
         self
     }
 
-    /// Returns the bytes of the answer with its length.
+    /// Returns the bytes of the response, with a `Content-Length` field.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = status_line(self.status);
         encode_fields(&mut bytes, &self.headers, Some(self.body.len()));
@@ -164,7 +164,7 @@
         bytes
     }
 
-    /// Returns the head of an answer whose body follows in chunks.
+    /// Returns the bytes of the head of a response whose body follows in chunks.
     pub fn encode_chunked_head(&self) -> Vec<u8> {
         let mut bytes = status_line(self.status);
         let mut headers = self.headers.clone();
--- a/crates/godwitspool-host/src/http/mod.rs
+++ b/crates/godwitspool-host/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 on plain sockets: one server and one client for the whole process.
+//! HTTP/1.1 over TCP without TLS: the process's only HTTP server and client.
 //!
-//! Sockets don't block; their owners wait on several at once with [`wait`], so a request sees its
-//! caller leave while the target works.
+//! Sockets are non-blocking, and [`wait`] polls several of them at once. A request can therefore
+//! notice that its caller has disconnected while it waits for a target.
 
 mod connection;
 mod decode;
@@ -12,7 +12,7 @@
 mod wait;
 
 pub use connection::{Connection, Received};
-pub use decode::{BodyDecoder, Chunk, DecodeError, decode_request, decode_response};
+pub use decode::{BodyDecoder, ChunkState, DecodeError, decode_request, decode_response};
 pub use exchange::{CallError, Exchange, Progress};
 pub use message::{Headers, Request, Response};
 pub use pool::Pool;
--- a/crates/godwitspool-host/src/http/pool.rs
+++ b/crates/godwitspool-host/src/http/pool.rs
@@ -7,19 +7,19 @@
 
 use super::Connection;
 
-/// Idle connections kept to one address; more would only hold descriptors.
-const IDLE_MAX: usize = 16;
+/// Maximum number of idle connections per address; more would only consume file descriptors.
+const MAX_IDLE_PER_ADDRESS: usize = 16;
 
 /// Idle connections by address.
 #[derive(Debug, Default)]
 pub struct Pool(Mutex<HashMap<SocketAddr, Vec<Connection>>>);
 
 impl Pool {
-    /// Returns an idle connection, or begins to connect.
+    /// Returns an idle connection, or starts a new one.
     ///
     /// # Errors
     ///
-    /// When the attempt fails at once.
+    /// When the connection attempt fails immediately.
     pub fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         match self.take(address) {
             Some(connection) => Ok(connection),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns an idle connection that can carry another request.
+    /// Takes an idle connection that can carry another request, and closes those that can't.
     pub fn take(&self, address: SocketAddr) -> Option<Connection> {
         loop {
             let mut connection = self.lock().get_mut(&address)?.pop()?;
@@ -37,16 +37,16 @@
         }
     }
 
-    /// Keeps an idle connection.
+    /// Returns a connection to the pool, or closes it if the address has the maximum of idle ones.
     pub fn put(&self, address: SocketAddr, connection: Connection) {
         let mut pool = self.lock();
         let idle = pool.entry(address).or_default();
-        if idle.len() < IDLE_MAX {
+        if idle.len() < MAX_IDLE_PER_ADDRESS {
             idle.push(connection);
         }
     }
 
-    /// Closes the idle connections to an address.
+    /// Closes all idle connections to an address.
     pub fn close(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
--- a/crates/godwitspool-host/src/http/server.rs
+++ b/crates/godwitspool-host/src/http/server.rs
@@ -17,29 +17,31 @@
     decode_request, wait,
 };
 
-/// Stack of a connection's thread: handlers hold no large values on it.
+/// Stack size of a connection's thread. Handlers keep no large values on the stack.
 const STACK_BYTES: usize = 256 * 1024;
-/// A caller that takes no bytes of its answer for so long is taken as gone, like the socket's own
-/// bound on unacknowledged bytes.
-const SEND_STALL: Duration = Duration::from_secs(3);
-/// Pause after a failed accept, so that exhausted descriptors don't become a busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// A caller that accepts no bytes of its response for this long counts as disconnected, comparable
+/// to the socket's `TCP_USER_TIMEOUT` for unacknowledged data.
+const SEND_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay after a failed accept, so that running out of file descriptors doesn't cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What callers may send, and how long they may take.
+/// Limits on the size of requests and on the time taken to send them.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Bounds {
-    /// Bytes of a head.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Time from the first byte of a head to its last, and between bytes of a body.
+    /// Maximum time from the first byte of a request head to its last.
     pub header_timeout: Duration,
-    /// Time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle between requests, and between two reads of a
+    /// request body.
     pub idle_timeout: Duration,
 }
 
 impl Default for Bounds {
-    /// Bounds before a configuration is known; common defaults of reverse proxies.
+    /// Bounds used before a configuration is known; similar to the defaults of common reverse
+    /// proxies.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -53,13 +55,13 @@
 /// Why no request was read.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// The caller left, the connection was idle too long, or the server drains.
+    /// The caller disconnected, the idle timeout expired, or the server was stopped.
     #[snafu(display("connection ended"))]
     Ended,
-    /// The request exceeds a bound or is malformed.
+    /// The request exceeds a limit or is malformed.
     #[snafu(display("refused with {status}"))]
     Refused {
-        /// Status of the answer.
+        /// HTTP status of the response.
         status: u16,
     },
 }
@@ -70,24 +72,23 @@
     }
 }
 
-type Handle = dyn Fn(&mut Caller, Request) -> io::Result<()> + Send + Sync;
-type ReadBounds = dyn Fn() -> Bounds + Send + Sync;
+type Handler = dyn Fn(&mut Caller, Request) -> io::Result<()> + Send + Sync;
+type BoundsSource = dyn Fn() -> Bounds + Send + Sync;
 
-/// Accepts connections and hands their requests to a handler, a thread a connection.
+/// An HTTP server that runs one thread per connection and passes each request to a handler.
 pub struct Server {
     address: SocketAddr,
-    shared: Arc<Shared>,
+    inner: Arc<Inner>,
 }
 
-struct Shared {
-    bounds: Box<ReadBounds>,
-    /// Whether connections are still accepted.
+struct Inner {
+    bounds: Box<BoundsSource>,
+    /// Whether the accept thread is still running.
     accepting: AtomicBool,
-    /// Connections that aren't closed yet.
-    open: AtomicUsize,
+    open_connections: AtomicUsize,
     draining: AtomicBool,
-    handle: Box<Handle>,
-    /// Readable from the moment on at which idle connections are to be closed.
+    handler: Box<Handler>,
+    /// Becomes readable when the listener and idle connections must be closed.
     stop: Waker,
 }
 
@@ -100,67 +101,68 @@
 }
 
 impl Server {
-    /// Listens on an address.
+    /// Binds an address and starts to accept connections. `bounds` is called for each request, so
+    /// that changed bounds also apply to open connections.
     ///
     /// # Errors
     ///
-    /// When the address can't be bound or no thread can be started.
+    /// When the address can't be bound or the accept thread can't be started.
     pub fn start(
         address: SocketAddr,
         bounds: impl Fn() -> Bounds + Send + Sync + 'static,
-        handle: impl Fn(&mut Caller, Request) -> io::Result<()> + Send + Sync + 'static,
+        handler: impl Fn(&mut Caller, Request) -> io::Result<()> + Send + Sync + 'static,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let shared = Arc::new(Shared {
+        let inner = Arc::new(Inner {
             bounds: Box::new(bounds),
             accepting: AtomicBool::new(true),
-            open: AtomicUsize::new(0),
+            open_connections: AtomicUsize::new(0),
             draining: AtomicBool::new(false),
-            handle: Box::new(handle),
+            handler: Box::new(handler),
             stop: Waker::new()?,
         });
-        let own = Arc::clone(&shared);
+        let acceptor = Arc::clone(&inner);
         thread::Builder::new()
             .name("accept".to_owned())
             .spawn(move || {
-                own.accept(&listener);
-                own.accepting.store(false, Ordering::SeqCst);
+                acceptor.accept(&listener);
+                acceptor.accepting.store(false, Ordering::SeqCst);
             })?;
-        Ok(Self { address, shared })
+        Ok(Self { address, inner })
     }
 
-    /// Returns the bound address.
+    /// Returns the address the server listens on; port 0 has been replaced by the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many connections are open.
-    pub fn open(&self) -> usize {
-        self.shared.open.load(Ordering::SeqCst)
+    /// Returns the number of open connections.
+    pub fn open_connections(&self) -> usize {
+        self.inner.open_connections.load(Ordering::SeqCst)
     }
 
-    /// Tells whether the server has stopped and closed its last connection. A request may have
-    /// arrived on any open one, read or not.
+    /// Returns whether the server has stopped accepting and all connections are closed. Until then,
+    /// a request may have arrived on an open connection even if it hasn't been read yet.
     pub fn is_ended(&self) -> bool {
-        // In this order: what was accepted last is counted before accepting ends.
-        !self.shared.accepting.load(Ordering::SeqCst) && self.open() == 0
+        // `accepting` is read first: the last accepted connection is counted before it is cleared.
+        !self.inner.accepting.load(Ordering::SeqCst) && self.open_connections() == 0
     }
 
-    /// Lets answers close their connections; new connections are still accepted.
+    /// Closes each connection after its next response. New connections are still accepted.
     pub fn drain(&self) {
-        self.shared.draining.store(true, Ordering::SeqCst);
+        self.inner.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Closes idle connections and the listener.
+    /// Closes the listener and idle connections. Requests in flight are completed.
     pub fn stop(&self) {
         self.drain();
-        self.shared.stop.wake();
+        self.inner.stop.wake();
     }
 }
 
-impl Shared {
+impl Inner {
     fn accept(self: &Arc<Self>, listener: &TcpListener) {
         let readable = Interest {
             read: true,
@@ -171,19 +173,19 @@
             let stopped = match wait(&sockets, None).as_deref() {
                 Ok(ready) => ready.get(1).is_some_and(|stop| stop.read),
                 Err(error) => {
-                    log::warn!(error:%; "waiting for connections failed");
-                    thread::sleep(ACCEPT_PAUSE);
+                    log::warn!(error:%; "poll on the listener failed");
+                    thread::sleep(ACCEPT_RETRY_DELAY);
                     false
                 }
             };
-            // Callers whose connections came about before the stop are served too.
+            // Connections in the backlog when the server is stopped are served too.
             loop {
                 match listener.accept() {
-                    Ok((socket, peer)) => self.serve(socket, peer),
+                    Ok((socket, peer)) => self.spawn_connection(socket, peer),
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                     Err(error) => {
                         log::warn!(error:%; "accept failed");
-                        thread::sleep(ACCEPT_PAUSE);
+                        thread::sleep(ACCEPT_RETRY_DELAY);
                         break;
                     }
                 }
@@ -194,52 +196,52 @@
         }
     }
 
-    fn serve(self: &Arc<Self>, socket: std::net::TcpStream, peer: SocketAddr) {
-        let own = Arc::clone(self);
+    fn spawn_connection(self: &Arc<Self>, socket: std::net::TcpStream, peer: SocketAddr) {
+        let server = Arc::clone(self);
         let connection = match Connection::accepted(socket) {
             Ok(connection) => connection,
             Err(error) => {
-                log::debug!(error:%, peer:%; "connection broke before its first request");
+                log::debug!(error:%, peer:%; "connection failed before its first request");
                 return;
             }
         };
-        self.open.fetch_add(1, Ordering::SeqCst);
+        self.open_connections.fetch_add(1, Ordering::SeqCst);
         let spawned = thread::Builder::new()
             .name("caller".to_owned())
             .stack_size(STACK_BYTES)
             .spawn(move || {
-                own.run(connection);
-                own.open.fetch_sub(1, Ordering::SeqCst);
+                server.serve_connection(connection);
+                server.open_connections.fetch_sub(1, Ordering::SeqCst);
             });
         if let Err(error) = spawned {
-            self.open.fetch_sub(1, Ordering::SeqCst);
-            log::warn!(error:%, peer:%; "no thread for a connection");
+            self.open_connections.fetch_sub(1, Ordering::SeqCst);
+            log::warn!(error:%, peer:%; "cannot start a thread for a connection");
         }
     }
 
-    fn run(&self, connection: Connection) {
+    fn serve_connection(&self, connection: Connection) {
         let mut caller = Caller {
             close: false,
             connection,
         };
         loop {
-            let request = match self.read(&mut caller.connection) {
+            let request = match self.read_request(&mut caller.connection) {
                 Ok(request) => request,
                 Err(ReadError::Ended) => return,
                 Err(ReadError::Refused { status }) => {
                     caller.close = true;
                     let answer = Response::new(status, Vec::new());
                     if let Err(error) = caller.respond(&answer) {
-                        log::debug!(error:%, status; "refusal not delivered");
+                        log::debug!(error:%, status; "error response not sent");
                     }
                     return;
                 }
             };
             caller.close = self.draining.load(Ordering::SeqCst)
                 || request.headers.lists("connection", "close");
-            let handled = (self.handle)(&mut caller, request);
+            let handled = (self.handler)(&mut caller, request);
             if let Err(error) = handled {
-                log::debug!(error:%; "answer not delivered");
+                log::debug!(error:%; "response not sent");
                 return;
             }
             if caller.close {
@@ -248,8 +250,8 @@
         }
     }
 
-    /// Reads one request.
-    fn read(&self, connection: &mut Connection) -> Result<Request, ReadError> {
+    /// Waits for a request and reads it with its body.
+    fn read_request(&self, connection: &mut Connection) -> Result<Request, ReadError> {
         let idle_since = Instant::now();
         while connection.input.is_empty() {
             let bounds = (self.bounds)();
@@ -300,7 +302,8 @@
         }
     }
 
-    /// Waits for bytes; false once the time has passed.
+    /// Waits for bytes and receives them. Returns false if none arrive within the timeout. When
+    /// `idle` is set, stopping the server ends the wait.
     fn receive(
         &self,
         connection: &mut Connection,
@@ -329,20 +332,20 @@
     }
 }
 
-/// The caller of the request at hand.
+/// The connection to the caller whose request is being handled.
 #[derive(Debug)]
 pub struct Caller {
-    /// Whether the connection is closed behind the answer.
+    /// Whether the connection is closed after the response.
     pub close: bool,
     connection: Connection,
 }
 
 impl Caller {
-    /// Sends a whole answer.
+    /// Sends a complete response.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
+    /// When the caller has disconnected or accepts no bytes.
     pub fn respond(&mut self, response: &Response) -> io::Result<()> {
         if self.close {
             let response = response.clone().with("Connection", "close");
@@ -351,11 +354,11 @@
         send_all(&mut self.connection, &response.encode())
     }
 
-    /// Sends the head of an answer whose body follows in chunks.
+    /// Sends the head of a response whose body follows in chunks.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
+    /// When the caller has disconnected or accepts no bytes.
     pub fn begin(&mut self, response: &Response) -> io::Result<()> {
         let mut response = response.clone();
         if self.close {
@@ -364,11 +367,11 @@
         send_all(&mut self.connection, &response.encode_chunked_head())
     }
 
-    /// Sends a chunk.
+    /// Sends a chunk of the body. Empty chunks are left out, since they would end the body.
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
+    /// When the caller has disconnected or accepts no bytes.
     pub fn chunk(&mut self, bytes: &[u8]) -> io::Result<()> {
         if bytes.is_empty() {
             return Ok(());
@@ -383,12 +386,12 @@
     ///
     /// # Errors
     ///
-    /// When the caller is gone.
+    /// When the caller has disconnected or accepts no bytes.
     pub fn end(&mut self) -> io::Result<()> {
         send_all(&mut self.connection, b"0\r\n\r\n")
     }
 
-    /// Returns the socket, to wait for the caller's leaving.
+    /// Returns the socket with an interest in hangup, to notice that the caller disconnects.
     pub fn socket(&self) -> (BorrowedFd<'_>, Interest) {
         let interest = Interest {
             hangup: true,
@@ -407,7 +410,7 @@
                 write: true,
                 ..Interest::default()
             };
-            let ready = wait(&[(connection.as_fd(), writable)], Some(SEND_STALL))?;
+            let ready = wait(&[(connection.as_fd(), writable)], Some(SEND_TIMEOUT))?;
             if !ready[0].write {
                 return Err(io::ErrorKind::TimedOut.into());
             }
--- a/crates/godwitspool-host/src/http/wait.rs
+++ b/crates/godwitspool-host/src/http/wait.rs
@@ -10,22 +10,23 @@
     pipe::{PipeFlags, pipe_with},
 };
 
-/// What a socket is waited for.
+/// Events to poll a socket for, or the events that occurred on it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Interest {
-    /// Bytes or the end of the stream have arrived.
+    /// Bytes can be read, or the peer has closed the stream.
     pub read: bool,
-    /// Bytes can be sent, or a connection attempt has ended.
+    /// Bytes can be written, or a connection attempt has completed.
     pub write: bool,
-    /// The other side has closed its end.
+    /// The peer has closed its end.
     pub hangup: bool,
 }
 
-/// Waits until a socket is ready or the time has passed; returns what is ready of each.
+/// Waits until a socket is ready or the timeout expires, and returns the events of each socket.
+/// Without a timeout it waits indefinitely. Signals don't end the wait.
 ///
 /// # Errors
 ///
-/// When the operating system refuses the wait. A signal doesn't end it.
+/// When `poll` fails.
 pub fn wait(
     sockets: &[(BorrowedFd<'_>, Interest)],
     timeout: Option<Duration>,
@@ -34,9 +35,9 @@
         .iter()
         .map(|(socket, interest)| PollFd::from_borrowed_fd(*socket, flags(*interest)))
         .collect();
-    let due = timeout.map(|timeout| Instant::now() + timeout);
+    let deadline = timeout.map(|timeout| Instant::now() + timeout);
     loop {
-        let left = due.map(|due| due.saturating_duration_since(Instant::now()));
+        let left = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
         let left = left.map(|left| Timespec {
             tv_sec: i64::try_from(left.as_secs()).unwrap_or(i64::MAX),
             tv_nsec: i64::from(left.subsec_nanos()),
@@ -71,7 +72,7 @@
     }
 }
 
-/// Ends a [`wait`] of another thread.
+/// Wakes a thread that is blocked in [`wait`], through a pipe.
 #[derive(Debug)]
 pub struct Waker {
     reader: OwnedFd,
@@ -79,28 +80,28 @@
 }
 
 impl Waker {
-    /// Opens the pipe.
+    /// Creates the pipe.
     ///
     /// # Errors
     ///
-    /// When no pipe can be opened.
+    /// When the pipe can't be created.
     pub fn new() -> io::Result<Self> {
         let (reader, writer) = pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK)?;
         Ok(Self { reader, writer })
     }
 
-    /// Ends the wait. A full pipe has ended it already.
+    /// Wakes the waiting thread. If the pipe is full, a wake-up is pending already.
     pub fn wake(&self) {
         let _ = write(&self.writer, &[1]);
     }
 
-    /// Forgets the wake-ups so far.
+    /// Discards pending wake-ups.
     pub fn clear(&self) {
         let mut bytes = [0; 64];
         while read(&self.reader, &mut bytes).is_ok_and(|length| length == bytes.len()) {}
     }
 
-    /// Returns what a wait includes.
+    /// Returns the descriptor and interest to include in a [`wait`].
     pub fn socket(&self) -> (BorrowedFd<'_>, Interest) {
         let interest = Interest {
             read: true,
--- a/crates/godwitspool-host/src/process/host.rs
+++ b/crates/godwitspool-host/src/process/host.rs
@@ -107,7 +107,7 @@
     pub fn drain(self) {
         let began = Instant::now();
         let grace = self.shared.settings.grace.saturating_sub(END_RESERVE);
-        log::info!(connections = self.front.open(); "host drains");
+        log::info!(connections = self.front.open_connections(); "host drains");
         self.shared.drain();
         self.front.drain();
         let still = STILL_CHOSEN.min(grace / 2);
@@ -125,7 +125,7 @@
             server.stop();
         }
         let took_ms = began.elapsed().as_millis() as u64;
-        log::info!(connections = self.front.open(), took_ms; "host ends");
+        log::info!(connections = self.front.open_connections(), took_ms; "host ends");
     }
 }
 
--- a/crates/godwitspool-host/src/request/forward.rs
+++ b/crates/godwitspool-host/src/request/forward.rs
@@ -281,7 +281,7 @@
             // A second answer to an earlier request may stand before the own one.
             if matches!(progress, Ok(Progress::Done))
                 && !self.is_answered(&attempt)
-                && attempt.exchange.skip_answer()
+                && attempt.exchange.skip_response()
             {
                 log::warn!(request = self.call.request(), target_name:% = attempt.target; "answer to another request passed over");
                 progress = attempt.exchange.advance();
--- a/crates/godwitspool-host/tests/http.rs
+++ b/crates/godwitspool-host/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: framing that arrives in pieces or is wrong, and the end of a server.
+//! HTTP/1.1: framing that arrives in pieces or is malformed, and the shutdown of a server.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,13 +10,13 @@
 };
 
 use godwitspool_host::http::{
-    BodyDecoder, Bounds, Caller, Chunk, DecodeError, Headers, Request, Response, Server,
+    BodyDecoder, Bounds, Caller, ChunkState, DecodeError, Headers, Request, Response, Server,
     decode_request, decode_response,
 };
 use rstest::rstest;
 
-/// Bound on whatever a test waits for; only a failure takes as long.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits; reached only when it fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn headers(fields: &[(&str, &str)]) -> Headers {
     let fields = fields.iter();
@@ -30,7 +30,7 @@
 #[rstest]
 fn a_chunked_body_is_the_same_in_whatever_pieces_it_arrives(#[values(1, 2, 3, 7, 64)] size: usize) {
     let bytes = b"5\r\nhello\r\n6;note=1\r\n world\r\n0\r\nTrailer: x\r\n\r\nnext";
-    let mut decoder = BodyDecoder::Chunked(Chunk::Size);
+    let mut decoder = BodyDecoder::Chunked(ChunkState::Size);
     let (mut input, mut body) = (Vec::new(), Vec::new());
     for piece in bytes.chunks(size) {
         input.extend_from_slice(piece);
@@ -38,7 +38,10 @@
     }
     assert!(decoder.is_done());
     assert_eq!(body, b"hello world");
-    assert_eq!(input, b"next", "what follows the body isn't part of it");
+    assert_eq!(
+        input, b"next",
+        "bytes after the body must stay in the input"
+    );
 }
 
 #[rstest]
@@ -47,7 +50,7 @@
 #[case(b"5\nhello")]
 #[case(b"3\r\nabcdef\r\n")]
 fn malformed_chunks_are_refused(#[case] bytes: &[u8]) {
-    let mut decoder = BodyDecoder::Chunked(Chunk::Size);
+    let mut decoder = BodyDecoder::Chunked(ChunkState::Size);
     let decoded = decoder.decode(&mut bytes.to_vec(), &mut Vec::new());
     assert_eq!(decoded, Err(DecodeError::Framing));
 }
@@ -79,7 +82,7 @@
 }
 
 #[test]
-fn heads_are_read_once_they_are_whole() {
+fn heads_are_decoded_once_they_are_complete() {
     let bytes = b"POST /a?b=1 HTTP/1.1\r\nHost: x\r\n\r\nbody";
     assert_eq!(decode_request(&bytes[..20]), Ok(None));
     let (request, length) = decode_request(bytes).unwrap().unwrap();
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn fields_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_fields_are_removed() {
     let mut request = Request::new("GET", "/", Vec::new());
     request.headers = headers(&[
         ("Connection", "close, X-Own"),
@@ -101,7 +104,7 @@
     assert_eq!(request.headers, headers(&[("X-Kept", "2")]));
 }
 
-/// Starts a server that answers everything with 200.
+/// Starts a server that responds with 200 to every request.
 fn start_server() -> Server {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let answer = |caller: &mut Caller, _| caller.respond(&Response::new(200, "done"));
@@ -109,9 +112,13 @@
 }
 
 fn await_ended(server: &Server) {
-    let due = Instant::now() + PATIENCE;
+    let due = Instant::now() + WAIT_TIMEOUT;
     while !server.is_ended() {
-        assert!(Instant::now() < due, "{} connections stay", server.open());
+        assert!(
+            Instant::now() < due,
+            "{} connections still open",
+            server.open_connections()
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -121,10 +128,10 @@
     let server = start_server();
     let mut caller = TcpStream::connect(server.address()).unwrap();
     caller.write_all(b"POST /a HTTP/1.1\r\n").unwrap();
-    // Long enough that the bytes so far are read.
+    // Gives the server time to read the partial request.
     thread::sleep(Duration::from_millis(100));
     server.stop();
-    assert!(!server.is_ended(), "half of a request is here");
+    assert!(!server.is_ended(), "a partial request has been received");
     caller
         .write_all(b"Host: x\r\nContent-Length: 0\r\n\r\n")
         .unwrap();
