--- a/crates/godwitspool-host/src/request/forward.rs
+++ b/crates/godwitspool-host/src/request/forward.rs
@@ -13,38 +13,39 @@
     version::{Outcome, Route, RouteKind},
 };
 
-/// Time that an answer needs to reach the caller before its deadline.
-const DELIVERY: Duration = Duration::from_millis(15);
-/// Bound on a request whose route and caller state none.
-const TIMEOUT_UNSTATED: Duration = Duration::from_mins(1);
-/// Share of the goal after which an idempotent request that got no answer is sent to a second
-/// target as well, so that the second still answers within the goal.
-const HEDGE_SHARE: f64 = 0.4;
-/// Hedge delay of routes without a goal.
+/// Part of the time until the caller's deadline that is reserved for delivering the response.
+const DELIVERY_RESERVE: Duration = Duration::from_millis(15);
+/// Timeout of a request if neither its route nor its caller sets one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_mins(1);
+/// Fraction of the route's latency goal after which an idempotent request without a response is
+/// hedged, so that the second target can still respond within the goal.
+const HEDGE_GOAL_FRACTION: f64 = 0.4;
+/// Hedge delay on routes without a latency goal. A dropped attempt older than this counts as slow.
 const HEDGE_DELAY: Duration = Duration::from_millis(100);
-/// A target that doesn't take a connection for so long is passed over; several round trips between
-/// data centres.
-const CONNECT_STALL: Duration = Duration::from_millis(40);
-/// When a caller may come back after all targets refused or failed: a target's pause, or the start
-/// of its successor, is over.
-const AGAIN_FULL: Duration = Duration::from_millis(150);
-/// When a caller may come back if no target of its service is known.
-const AGAIN_NONE: Duration = Duration::from_millis(500);
+/// Time after which a connection attempt is abandoned and another target is tried. It allows for
+/// several round trips between data centres.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
+/// Retry delay sent to the caller after all targets refused or failed. By then, a target's pause
+/// after a failure has ended, or its replacement has started.
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
+/// Retry delay sent to the caller if no target of its service is available.
+const RETRY_AFTER_NO_TARGET: Duration = Duration::from_millis(500);
 
-/// How a request ended, for logs and metrics.
+/// Outcome of a request, for logs and metrics.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ended {
-    /// A target's answer was passed on.
+    /// A response with this status was sent to the caller.
     Answered(u16),
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// No target could take it; it has not run.
+    /// The request was refused and has not run; the caller may retry it.
     Refused,
-    /// The time ran out, or what came of it is unknown.
+    /// The request timed out, its outcome is unknown, or its stream was cut off. The value is the
+    /// status sent to the caller, 0 for a stream.
     Failed(u16),
 }
 
-/// A request on its way through targets.
+/// A request while it is forwarded to targets.
 struct Forward<'a> {
     shared: &'a Shared,
     route: &'a Route,
@@ -53,29 +54,34 @@
     workspace: Option<&'a Workspace>,
     service: ServiceName,
     arrived: Instant,
+    /// When the request times out.
     due: Instant,
-    tries: Vec<Try>,
+    in_flight: Vec<Attempt>,
     tried: Vec<TargetName>,
-    /// Targets that may have begun to work on it.
-    begun: u32,
-    /// Time of day at which the first of them got it.
-    begun_ms: Option<u64>,
+    /// Number of finished attempts whose target may have started to process the request.
+    started: u32,
+    /// Unix time at which a target may first have started to process it; decides the usage window.
+    started_ms: Option<u64>,
+    /// A server error from a target, returned to the caller if no later attempt succeeds.
     fallback: Option<Response>,
 }
 
-struct Try {
+/// An attempt at one target.
+struct Attempt {
     target: TargetName,
     address: SocketAddr,
     exchange: Exchange,
     began: Instant,
+    /// Whether the attempt took so long that another one has been allowed.
     stalled: bool,
 }
 
-/// Sends a request to targets of its route's service until one answers.
+/// Sends a request to targets of its route's service until one responds, and passes the response to
+/// the caller.
 ///
 /// # Errors
 ///
-/// When the caller is gone, or the operating system refuses to wait.
+/// When the caller has disconnected or `poll` fails.
 pub fn forward(
     shared: &Shared,
     route: &Route,
@@ -86,16 +92,17 @@
 ) -> io::Result<Ended> {
     let arrived = Instant::now();
     let bounds = [
-        call.deadline.map(|left| left.saturating_sub(DELIVERY)),
+        call.deadline
+            .map(|left| left.saturating_sub(DELIVERY_RESERVE)),
         route.timeout,
     ];
     let bound = bounds
         .into_iter()
         .flatten()
         .min()
-        .unwrap_or(TIMEOUT_UNSTATED);
+        .unwrap_or(DEFAULT_TIMEOUT);
     let Some(service) = route.service(rand::random()).cloned() else {
-        caller.respond(&shared.dialect.refusal(AGAIN_NONE))?;
+        caller.respond(&shared.dialect.refusal(RETRY_AFTER_NO_TARGET))?;
         return Ok(Ended::Refused);
     };
     let mut forward = Forward {
@@ -107,14 +114,14 @@
         service,
         arrived,
         due: arrived + bound,
-        tries: Vec::new(),
+        in_flight: Vec::new(),
         tried: Vec::new(),
-        begun: 0,
-        begun_ms: None,
+        started: 0,
+        started_ms: None,
         fallback: None,
     };
     let ended = forward.run(caller);
-    forward.drop_tries();
+    forward.abandon_attempts();
     if !matches!(ended, Ok(Ended::Answered(200))) {
         let left_ms = forward
             .due
@@ -122,13 +129,13 @@
             .as_millis() as u64;
         log::info!(
             request = call.request(), route = route.name, service:% = forward.service,
-            tried:? = forward.tried, begun = forward.begun,
+            tried:? = forward.tried, begun = forward.started,
             took_ms = forward.arrived.elapsed().as_millis() as u64, left_ms, ended:?;
             "request not served"
         );
     }
-    if let (Some(workspace), Some(begun)) = (workspace, forward.begun_ms) {
-        shared.usage.count(workspace, begun);
+    if let (Some(workspace), Some(started)) = (workspace, forward.started_ms) {
+        shared.usage.count(workspace, started);
     }
     ended
 }
@@ -137,10 +144,10 @@
     fn run(&mut self, caller: &mut Caller) -> io::Result<Ended> {
         let repeatable = self.route.kind == RouteKind::Idempotent;
         loop {
-            if self.tries.is_empty() && !self.next_try(repeatable) {
-                return self.give_up(caller);
+            if self.in_flight.is_empty() && !self.start_attempt(repeatable) {
+                return self.respond_unserved(caller);
             }
-            // An answer may have come while the request was sent.
+            // The response may have arrived while the request was being sent.
             if self.route.kind == RouteKind::Stream {
                 if let Some(ended) = self.advance_stream(caller)? {
                     return Ok(ended);
@@ -149,22 +156,26 @@
                 caller.respond(&answer)?;
                 return Ok(Ended::Answered(answer.status));
             }
-            if self.tries.is_empty() {
+            if self.in_flight.is_empty() {
                 continue;
             }
             let now = Instant::now();
             if now >= self.due {
-                return self.time_out(caller);
+                return self.respond_timeout(caller);
             }
-            let stall = self.stall(repeatable);
+            let stall = self.stall_deadline(repeatable);
             if stall.is_some_and(|at| now >= at) {
-                self.pass_stalled_over();
-                self.next_try(repeatable);
+                self.mark_stalled();
+                self.start_attempt(repeatable);
                 continue;
             }
             let until = stall.map_or(self.due, |at| at.min(self.due));
             let mut sockets = vec![caller.socket()];
-            sockets.extend(self.tries.iter().map(|attempt| attempt.exchange.socket()));
+            sockets.extend(
+                self.in_flight
+                    .iter()
+                    .map(|attempt| attempt.exchange.socket()),
+            );
             let ready = wait(&sockets, Some(until.saturating_duration_since(now)))?;
             if ready[0].hangup {
                 return Ok(Ended::CallerLeft);
@@ -172,43 +183,50 @@
         }
     }
 
-    /// Returns when the newest try counts as stalled, so that another is worth a target's time.
-    fn stall(&self, repeatable: bool) -> Option<Instant> {
-        let newest = self.tries.last().filter(|newest| !newest.stalled)?;
+    /// Returns when the newest attempt counts as stalled and another target is tried, if ever. An
+    /// attempt that has sent nothing stalls after the connect timeout; a sent one only if the
+    /// request may be repeated, after the hedge delay.
+    fn stall_deadline(&self, repeatable: bool) -> Option<Instant> {
+        let newest = self.in_flight.last().filter(|newest| !newest.stalled)?;
         if !newest.exchange.was_sent() {
-            return Some(newest.began + CONNECT_STALL);
+            return Some(newest.began + CONNECT_TIMEOUT);
         }
-        let goal = self.route.goal.map(|goal| goal.mul_f64(HEDGE_SHARE));
+        let goal = self
+            .route
+            .goal
+            .map(|goal| goal.mul_f64(HEDGE_GOAL_FRACTION));
         (repeatable && newest.exchange.head().is_none())
             .then(|| newest.began + goal.unwrap_or(HEDGE_DELAY))
     }
 
-    /// Marks stalled tries, and closes those that have sent nothing: they must not run later.
-    fn pass_stalled_over(&mut self) {
-        let mut going = Vec::with_capacity(self.tries.len());
-        for mut attempt in std::mem::take(&mut self.tries) {
+    /// Marks the attempts in flight as stalled. Those that have sent nothing are closed, so that
+    /// they can't run later.
+    fn mark_stalled(&mut self) {
+        let mut pending = Vec::with_capacity(self.in_flight.len());
+        for mut attempt in std::mem::take(&mut self.in_flight) {
             if attempt.exchange.was_sent() {
                 attempt.stalled = true;
-                going.push(attempt);
+                pending.push(attempt);
             } else {
-                log::info!(request = self.call.request(), target_name:% = attempt.target; "target takes no connection");
-                self.settle(&attempt, Outcome::Failed);
+                log::info!(request = self.call.request(), target_name:% = attempt.target; "connecting to a target timed out");
+                self.record_outcome(&attempt, Outcome::Failed);
             }
         }
-        self.tries = going;
+        self.in_flight = pending;
     }
 
-    /// Sends the request to another target; false if there is none, or none may get it.
-    fn next_try(&mut self, repeatable: bool) -> bool {
-        let most = self.route.attempts.max(1);
+    /// Sends the request to another target. Returns false if no target is left, or if the request
+    /// may not be repeated.
+    fn start_attempt(&mut self, repeatable: bool) -> bool {
+        let max_attempts = self.route.attempts.max(1);
         loop {
             let sent = self
-                .tries
+                .in_flight
                 .iter()
                 .filter(|attempt| attempt.exchange.was_sent())
                 .count();
-            let begun = self.begun + sent as u32;
-            if begun > 0 && (!repeatable || begun >= most) {
+            let started = self.started + sent as u32;
+            if started > 0 && (!repeatable || started >= max_attempts) {
                 return false;
             }
             let now = self.shared.clock.now();
@@ -233,20 +251,20 @@
             match self.shared.pool.connect(address) {
                 Ok(connection) => {
                     let mut exchange = Exchange::new(connection, &request);
-                    // Sends at once on a kept connection.
+                    // On a pooled connection this sends the request immediately.
                     let failed = exchange.advance().is_err();
                     if failed && !exchange.was_sent() {
                         self.shared.fleet().finish(&target, Outcome::Failed, now);
                         continue;
                     }
-                    self.tries.push(Try {
+                    self.in_flight.push(Attempt {
                         target,
                         address,
                         exchange,
                         began: Instant::now(),
                         stalled: false,
                     });
-                    self.note_begun();
+                    self.record_start();
                     return true;
                 }
                 Err(error) => {
@@ -257,60 +275,64 @@
         }
     }
 
-    fn note_begun(&mut self) {
+    /// Sets the start time as soon as any attempt has sent a byte.
+    fn record_start(&mut self) {
         let sent = self
-            .tries
+            .in_flight
             .iter()
             .filter(|attempt| attempt.exchange.was_sent())
             .count();
         if sent > 0 {
-            self.begun_ms.get_or_insert_with(unix_ms);
+            self.started_ms.get_or_insert_with(unix_ms);
         }
     }
 
-    /// Serves the tries; returns the answer to pass on once there is one.
+    /// Advances the attempts in flight. Returns the response for the caller once there is one.
     fn advance(&mut self) -> Option<Response> {
-        let mut going = Vec::with_capacity(self.tries.len());
+        let mut pending = Vec::with_capacity(self.in_flight.len());
         let mut answer = None;
-        for mut attempt in std::mem::take(&mut self.tries) {
+        for mut attempt in std::mem::take(&mut self.in_flight) {
             if answer.is_some() {
-                going.push(attempt);
+                pending.push(attempt);
                 continue;
             }
             let mut progress = attempt.exchange.advance();
-            // A second answer to an earlier request may stand before the own one.
+            // A duplicate response to an earlier request may precede the one to this request.
             if matches!(progress, Ok(Progress::Done))
-                && !self.is_answered(&attempt)
+                && !self.is_own_response(&attempt)
                 && attempt.exchange.skip_response()
             {
-                log::warn!(request = self.call.request(), target_name:% = attempt.target; "answer to another request passed over");
+                log::warn!(request = self.call.request(), target_name:% = attempt.target; "response to another request discarded");
                 progress = attempt.exchange.advance();
             }
             match progress {
-                Ok(Progress::Pending) => going.push(attempt),
-                Ok(Progress::Done) => answer = self.take_answer(attempt),
+                Ok(Progress::Pending) => pending.push(attempt),
+                Ok(Progress::Done) => answer = self.take_response(attempt),
                 Err(error) => {
                     log::info!(request = self.call.request(), target_name:% = attempt.target, error:%; "try failed");
                     if error.was_sent() {
-                        self.begun += 1;
-                        self.begun_ms.get_or_insert_with(unix_ms);
+                        self.started += 1;
+                        self.started_ms.get_or_insert_with(unix_ms);
                     }
-                    self.settle(&attempt, Outcome::Failed);
+                    self.record_outcome(&attempt, Outcome::Failed);
                 }
             }
         }
-        self.tries = going;
-        self.note_begun();
+        self.in_flight = pending;
+        self.record_start();
         answer
     }
 
-    /// Tells whether the answer of a try names this request.
-    fn is_answered(&self, attempt: &Try) -> bool {
+    /// Returns whether the response of an attempt carries this request's identifier.
+    fn is_own_response(&self, attempt: &Attempt) -> bool {
         let head = attempt.exchange.head();
         head.is_some_and(|head| self.shared.dialect.reply(head).id == self.call.id)
     }
 
-    fn take_answer(&mut self, attempt: Try) -> Option<Response> {
+    /// Records the outcome of an attempt with a complete response. Returns the response unless it
+    /// belongs to another request, is successful but unsigned, is a refusal, or is a server error
+    /// after which another attempt is allowed.
+    fn take_response(&mut self, attempt: Attempt) -> Option<Response> {
         let took = attempt.began.elapsed().as_secs_f64() * 1_000.0;
         let reply = attempt
             .exchange
@@ -318,20 +340,20 @@
             .map(|head| self.shared.dialect.reply(head));
         let reply: Reply = reply.unwrap_or_default();
         if reply.id != self.call.id {
-            log::warn!(request = self.call.request(), target_name:% = attempt.target, answered:? = reply.id; "answer belongs to another request");
-            self.begun += 1;
-            self.settle(&attempt, Outcome::Failed);
+            log::warn!(request = self.call.request(), target_name:% = attempt.target, answered:? = reply.id; "response belongs to another request");
+            self.started += 1;
+            self.record_outcome(&attempt, Outcome::Failed);
             return None;
         }
         let status = attempt.exchange.head().map_or(0, |head| head.status);
         if (200..300).contains(&status) && !reply.signed {
-            log::warn!(request = self.call.request(), target_name:% = attempt.target, status; "answer isn't signed");
-            self.begun += 1;
-            self.settle(&attempt, Outcome::Failed);
+            log::warn!(request = self.call.request(), target_name:% = attempt.target, status; "successful response without a signature");
+            self.started += 1;
+            self.record_outcome(&attempt, Outcome::Failed);
             return None;
         }
         let refused = reply.not_run || status == 421;
-        self.settle(
+        self.record_outcome(
             &attempt,
             if refused {
                 Outcome::Refused
@@ -347,54 +369,55 @@
             log::info!(request = self.call.request(), target_name:% = attempt.target, status; "target refused");
             return None;
         }
-        self.begun += 1;
-        self.begun_ms.get_or_insert_with(unix_ms);
-        let response = passed_on(response);
+        self.started += 1;
+        self.started_ms.get_or_insert_with(unix_ms);
+        let response = without_hop_by_hop(response);
         let repeatable = self.route.kind == RouteKind::Idempotent;
-        if status >= 500 && repeatable && self.begun < self.route.attempts.max(1) {
+        if status >= 500 && repeatable && self.started < self.route.attempts.max(1) {
             self.fallback = Some(response);
             return None;
         }
         Some(response)
     }
 
-    /// Passes a stream on as it arrives.
+    /// Advances the newest attempt of a streaming request. Once its response head has arrived,
+    /// relays the stream to the caller until it ends.
     fn advance_stream(&mut self, caller: &mut Caller) -> io::Result<Option<Ended>> {
-        let Some(mut attempt) = self.tries.pop() else {
+        let Some(mut attempt) = self.in_flight.pop() else {
             return Ok(None);
         };
         let progress = attempt.exchange.advance();
         let Some(head) = attempt.exchange.head() else {
             if let Err(error) = progress {
                 log::info!(request = self.call.request(), target_name:% = attempt.target, error:%; "try failed");
-                self.begun += u32::from(error.was_sent());
-                self.settle(&attempt, Outcome::Failed);
+                self.started += u32::from(error.was_sent());
+                self.record_outcome(&attempt, Outcome::Failed);
             } else {
-                self.tries.push(attempt);
+                self.in_flight.push(attempt);
             }
             return Ok(None);
         };
         let (status, reply) = (head.status, self.shared.dialect.reply(head));
         if reply.id != self.call.id || reply.not_run || status != 200 {
-            self.tries.push(attempt);
+            self.in_flight.push(attempt);
             let Some(answer) = self.advance() else {
                 return Ok(None);
             };
             caller.respond(&answer)?;
             return Ok(Some(Ended::Answered(answer.status)));
         }
-        self.begun += 1;
-        self.begun_ms.get_or_insert_with(unix_ms);
-        let head = passed_on(head.clone());
+        self.started += 1;
+        self.started_ms.get_or_insert_with(unix_ms);
+        let head = without_hop_by_hop(head.clone());
         caller.begin(&head)?;
-        let ended = self.pass_stream(caller, &mut attempt);
+        let ended = self.relay_stream(caller, &mut attempt);
         let whole = matches!(ended, Ok(Ended::Answered(_)));
         let outcome = if whole {
             Outcome::Answered(attempt.began.elapsed().as_secs_f64() * 1_000.0)
         } else {
             Outcome::Dropped
         };
-        self.settle(&attempt, outcome);
+        self.record_outcome(&attempt, outcome);
         if whole {
             caller.end()?;
             let connection = attempt.exchange.finish().1;
@@ -402,13 +425,15 @@
                 self.shared.pool.put(attempt.address, connection);
             }
         } else {
-            // A stream that isn't whole must not look so.
+            // Closing the connection without the last chunk shows the caller that the stream is
+            // incomplete.
             caller.close = true;
         }
         ended.map(Some)
     }
 
-    fn pass_stream(&self, caller: &mut Caller, attempt: &mut Try) -> io::Result<Ended> {
+    /// Relays the chunks of a stream as they arrive.
+    fn relay_stream(&self, caller: &mut Caller, attempt: &mut Attempt) -> io::Result<Ended> {
         loop {
             let progress = attempt.exchange.advance();
             caller.chunk(&attempt.exchange.take_body())?;
@@ -431,44 +456,51 @@
         }
     }
 
-    fn settle(&self, attempt: &Try, outcome: Outcome) {
+    fn record_outcome(&self, attempt: &Attempt, outcome: Outcome) {
         let now = self.shared.clock.now();
         self.shared.fleet().finish(&attempt.target, outcome, now);
     }
 
-    /// Answers when no target is left that may get the request.
-    fn give_up(&mut self, caller: &mut Caller) -> io::Result<Ended> {
+    /// Responds when the request can't be sent to any further target.
+    fn respond_unserved(&mut self, caller: &mut Caller) -> io::Result<Ended> {
         if let Some(answer) = self.fallback.take() {
             caller.respond(&answer)?;
             return Ok(Ended::Answered(answer.status));
         }
-        if self.begun > 0 {
+        if self.started > 0 {
             caller.respond(&Response::new(502, Vec::new()))?;
             return Ok(Ended::Failed(502));
         }
-        let again = if self.tried.is_empty() {
-            AGAIN_NONE
+        let retry_after = if self.tried.is_empty() {
+            RETRY_AFTER_NO_TARGET
         } else {
-            AGAIN_FULL
+            RETRY_AFTER_FULL
         };
-        caller.respond(&self.shared.dialect.refusal(again))?;
+        caller.respond(&self.shared.dialect.refusal(retry_after))?;
         Ok(Ended::Refused)
     }
 
-    fn time_out(&mut self, caller: &mut Caller) -> io::Result<Ended> {
-        let sent = self.tries.iter().any(|attempt| attempt.exchange.was_sent());
-        if self.begun == 0 && !sent {
-            return self.give_up(caller);
+    /// Responds when the request has timed out. If nothing was sent to a target, the caller may
+    /// retry.
+    fn respond_timeout(&mut self, caller: &mut Caller) -> io::Result<Ended> {
+        let sent = self
+            .in_flight
+            .iter()
+            .any(|attempt| attempt.exchange.was_sent());
+        if self.started == 0 && !sent {
+            return self.respond_unserved(caller);
         }
         let status = 504;
         caller.respond(&Response::new(status, Vec::new()))?;
         Ok(Ended::Failed(status))
     }
 
-    fn drop_tries(&mut self) {
+    /// Drops the attempts still in flight and records their outcomes, so that slow targets are
+    /// chosen less often.
+    fn abandon_attempts(&mut self) {
         let now: Millis = self.shared.clock.now();
-        for attempt in self.tries.drain(..) {
-            self.begun += u32::from(attempt.exchange.was_sent());
+        for attempt in self.in_flight.drain(..) {
+            self.started += u32::from(attempt.exchange.was_sent());
             let slow = attempt.stalled || attempt.began.elapsed() > HEDGE_DELAY;
             let outcome = if slow && !attempt.exchange.was_sent() {
                 Outcome::Failed
@@ -482,8 +514,8 @@
     }
 }
 
-/// Returns a target's answer without the fields of its connection.
-fn passed_on(mut response: Response) -> Response {
+/// Returns a target's response without its hop-by-hop fields.
+fn without_hop_by_hop(mut response: Response) -> Response {
     response.headers.remove_hop_by_hop();
     response
 }
--- a/crates/godwitspool-host/src/request/mod.rs
+++ b/crates/godwitspool-host/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for a request of a caller.
+//! Handling of a caller's request for its whole duration.
 
 mod forward;
 
