--- a/crates/godwitspool-host/src/process/calls.rs
+++ b/crates/godwitspool-host/src/process/calls.rs
@@ -16,38 +16,41 @@
     version::{Configuration, RouteKind},
 };
 
-/// When a caller may come back if this host knows no configuration yet, or the store is away.
-const AGAIN_STORE: Duration = Duration::from_millis(500);
-/// Bound on a call about a batch whose caller states none; callers wait 1.5 s longer than they allow.
+/// Retry delay sent to the caller if this host has no configuration yet, or the store is
+/// unreachable.
+const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(500);
+/// Maximum time for the store calls of a request about a batch; a shorter deadline of the caller
+/// applies instead. Callers wait 1.5 s longer than the deadline that they send.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bound on a peer's answer beyond the time that it may wait itself.
-const PEER_SLACK: Duration = Duration::from_millis(600);
-/// Pause before an append whose outcome is unknown is repeated.
-const APPEND_PAUSE: Duration = Duration::from_millis(50);
+/// Time allowed for a peer's response in addition to the time that the peer itself may wait.
+const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
+/// Delay before a failed append is repeated.
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Who sent a request: told by the address at which it arrived, never by what it says.
+/// Sender of a request. It is derived from the listener that accepted the request, never from the
+/// request's content.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Origin {
-    /// A caller.
     Caller,
-    /// Another host on a caller's behalf; it reads the store itself if this one doesn't know.
+    /// Another host on behalf of a caller. If this host doesn't know the batch, the other one reads
+    /// the store itself.
     Host,
 }
 
-/// Answers a caller's request.
+/// Handles a request of a caller.
 ///
 /// # Errors
 ///
-/// When the caller is gone.
+/// When the caller has disconnected.
 pub fn serve(shared: &Arc<Shared>, caller: &mut Caller, request: &Request) -> io::Result<()> {
     serve_from(shared, caller, request, Origin::Caller)
 }
 
-/// Answers a request of another host.
+/// Handles a request of another host.
 ///
 /// # Errors
 ///
-/// When the host is gone.
+/// When the other host has disconnected.
 pub fn serve_peer(shared: &Arc<Shared>, caller: &mut Caller, request: &Request) -> io::Result<()> {
     if request.path() == RELAY_PATH {
         return caller.respond(&shared.store.serve(request));
@@ -107,7 +110,7 @@
         })
     };
     let Some(configuration) = shared.configuration() else {
-        return respond(caller, shared.dialect.refusal(AGAIN_STORE));
+        return respond(caller, shared.dialect.refusal(RETRY_AFTER_UNAVAILABLE));
     };
     let status = |status| Response::new(status, Vec::new());
     if call.kind != CallKind::Routed {
@@ -145,13 +148,13 @@
             respond(caller, batch_call.submit(&configuration, &submission))
         }
         Err(reason) => {
-            log::info!(request = call.request(), reason:%; "submission can't be read");
+            log::info!(request = call.request(), reason:%; "invalid batch submission");
             respond(caller, Response::new(400, reason))
         }
     }
 }
 
-/// Answers one call about a batch.
+/// One request that concerns a batch.
 struct BatchCall<'a> {
     shared: &'a Arc<Shared>,
     call: &'a Call,
@@ -163,9 +166,9 @@
 impl BatchCall<'_> {
     fn answer(&self) -> Response {
         match &self.call.kind {
-            CallKind::ReadBatch { batch, after } => self.read(batch, *after),
-            CallKind::ReadItem { batch, item } => self.body(batch, item),
-            CallKind::EndBatch { batch } => self.end(batch),
+            CallKind::ReadBatch { batch, after } => self.read_results(batch, *after),
+            CallKind::ReadItem { batch, item } => self.read_item(batch, item),
+            CallKind::EndBatch { batch } => self.end_batch(batch),
             CallKind::Routed => Response::new(404, Vec::new()),
         }
     }
@@ -174,12 +177,12 @@
         Instant::now() + self.call.deadline.unwrap_or(CALL_TIMEOUT).min(CALL_TIMEOUT)
     }
 
-    /// Stores a batch and accepts it.
+    /// Stores a batch and acknowledges it with 202.
     fn submit(&self, configuration: &Configuration, submission: &Submission) -> Response {
         let parts = self.shared.settings.store.parts;
         let calls = BatchRecord::of_submission(submission, &self.shared.settings.store);
         let part = partition_of(&submission.id, parts);
-        let stored = self.store(part, &calls);
+        let stored = self.append_records(part, &calls);
         log::info!(
             batch:% = submission.id, step = submission.step, model:% = submission.model,
             items = submission.items.len(), min_version = submission.min_version, partition = part, stored:?,
@@ -189,25 +192,34 @@
         self.acknowledge(&stored, 202)
     }
 
-    /// Stores the end of a batch.
-    fn end(&self, batch: &str) -> Response {
+    /// Stores a record that ends a batch, and acknowledges it with 200.
+    fn end_batch(&self, batch: &str) -> Response {
         let part = partition_of(batch, self.shared.settings.store.parts);
-        let stored = self.store(part, &[vec![BatchRecord::of_end(batch)]]);
-        log::info!(batch, partition = part, stored:?; "end of a batch asked for");
+        let stored = self.append_records(part, &[vec![BatchRecord::of_end(batch)]]);
+        log::info!(batch, partition = part, stored:?; "batch end requested");
         self.acknowledge(&stored, 200)
     }
 
     fn acknowledge(&self, stored: &Result<(), StoreError>, status: u16) -> Response {
         match stored {
             Ok(()) => Response::new(status, Vec::new()),
-            Err(StoreError::NotDone { .. }) => self.shared.dialect.refusal(AGAIN_STORE),
-            // It may take effect yet, so nothing is promised.
+            Err(StoreError::NotDone { .. }) => self.shared.dialect.refusal(RETRY_AFTER_UNAVAILABLE),
+            // The append may still take effect, so the response must not say that nothing was
+            // stored.
             Err(_) => Response::new(504, Vec::new()),
         }
     }
 
-    /// Appends records of a batch. They never differ, so an append that is repeated does no harm.
-    fn store(&self, part: u32, calls: &[Vec<crate::store::Keyed>]) -> Result<(), StoreError> {
+    /// Appends records of a batch, and retries failed appends until the deadline. Repeated appends
+    /// are harmless because they write identical records.
+    ///
+    /// An error with an unknown outcome takes precedence over `NotDone`, since the records may have
+    /// been stored.
+    fn append_records(
+        &self,
+        part: u32,
+        calls: &[Vec<crate::store::Keyed>],
+    ) -> Result<(), StoreError> {
         let due = self.due();
         let mut unknown = None;
         for records in calls {
@@ -223,17 +235,18 @@
                 if !matches!(error, StoreError::NotDone { .. }) {
                     unknown = Some(error.clone());
                 }
-                if Instant::now() + APPEND_PAUSE >= due {
+                if Instant::now() + APPEND_RETRY_DELAY >= due {
                     return Err(unknown.unwrap_or(error));
                 }
-                std::thread::sleep(APPEND_PAUSE);
+                std::thread::sleep(APPEND_RETRY_DELAY);
             }
         }
         Ok(())
     }
 
-    /// Reads results: from this host, its owner, or the store.
-    fn read(&self, batch: &str, after: u64) -> Response {
+    /// Reads results from this host, from the owner of the batch's partition, or from the store, in
+    /// this order.
+    fn read_results(&self, batch: &str, after: u64) -> Response {
         let shared = self.shared;
         let wait = self.call.wait.unwrap_or_default();
         let found = shared
@@ -246,18 +259,18 @@
         if let Some(answer) = self.ask_owner(batch, &lookup, wait) {
             return answer;
         }
-        let total_wanted = |stored: &ResultPage| stored.total > 0;
-        self.answer_stored(batch, |submission, results| {
+        let has_items = |stored: &ResultPage| stored.total > 0;
+        self.respond_from_store(batch, |submission, results| {
             let page = page(submission, results, after);
-            if total_wanted(&page) && (after as usize) <= results.len() {
+            if has_items(&page) && (after as usize) <= results.len() {
                 return shared.dialect.results(&page);
             }
-            // The position was read before, so this copy is behind.
-            shared.dialect.refusal(AGAIN_STORE)
+            // The caller has read up to `after` before, so this copy is stale.
+            shared.dialect.refusal(RETRY_AFTER_UNAVAILABLE)
         })
     }
 
-    fn body(&self, batch: &str, item: &str) -> Response {
+    fn read_item(&self, batch: &str, item: &str) -> Response {
         let found = self
             .shared
             .owned_batches
@@ -269,7 +282,7 @@
         if let Some(answer) = self.ask_owner(batch, &lookup, Duration::ZERO) {
             return answer;
         }
-        self.answer_stored(batch, |submission, _| {
+        self.respond_from_store(batch, |submission, _| {
             let mut items = submission.items.iter();
             match items.find(|spec| spec.id == item) {
                 Some(spec) => Response::new(200, spec.body.clone()),
@@ -278,7 +291,8 @@
         })
     }
 
-    /// Passes the call on to the owner of the batch's partition; `None` if it doesn't know.
+    /// Forwards the request to the owner of the batch's partition. Returns `None` if no other host
+    /// is known to own it or the owner can't answer.
     fn ask_owner<T>(&self, batch: &str, lookup: &Lookup<T>, wait: Duration) -> Option<Response> {
         if self.origin == Origin::Host || !matches!(lookup, Lookup::Elsewhere) {
             return None;
@@ -286,32 +300,33 @@
         let shared = self.shared;
         let part = partition_of(batch, shared.settings.store.parts);
         let owner = shared.peers.holder(shared, Topic::Results, part)?;
-        match peers::call(shared, owner, self.request, wait + PEER_SLACK) {
+        match peers::call(shared, owner, self.request, wait + PEER_TIMEOUT_MARGIN) {
             Ok(mut answer) if answer.status < 500 => {
                 answer.headers.remove_hop_by_hop();
                 Some(answer)
             }
             Ok(answer) => {
-                log::info!(batch, owner:%, status = answer.status; "owner doesn't know");
-                shared.peers.suspect();
+                log::info!(batch, owner:%, status = answer.status; "owner responded with a server error");
+                shared.peers.mark_stale();
                 None
             }
             Err(error) => {
-                log::info!(batch, owner:%, error:%; "owner doesn't answer");
-                shared.peers.suspect();
+                log::info!(batch, owner:%, error:%; "request to owner failed");
+                shared.peers.mark_stale();
                 None
             }
         }
     }
 
-    /// Answers from the store. A host that asks on a caller's behalf does so itself.
-    fn answer_stored(
+    /// Responds from the store. Requests of other hosts are refused, since those read the store
+    /// themselves.
+    fn respond_from_store(
         &self,
         batch: &str,
         answer: impl FnOnce(&Submission, &[Arc<crate::batch::ItemResult>]) -> Response,
     ) -> Response {
         if self.origin == Origin::Host {
-            return self.shared.dialect.refusal(AGAIN_STORE);
+            return self.shared.dialect.refusal(RETRY_AFTER_UNAVAILABLE);
         }
         let part = partition_of(batch, self.shared.settings.store.parts);
         match read_stored(self.shared.store.as_ref(), part, batch) {
@@ -324,8 +339,8 @@
             }
             Ok(None) => Response::new(404, Vec::new()),
             Err(error) => {
-                log::info!(batch, error:%; "batch can't be read now");
-                self.shared.dialect.refusal(AGAIN_STORE)
+                log::info!(batch, error:%; "reading a batch from the store failed");
+                self.shared.dialect.refusal(RETRY_AFTER_UNAVAILABLE)
             }
         }
     }
--- a/crates/godwitspool-host/src/process/duties.rs
+++ b/crates/godwitspool-host/src/process/duties.rs
@@ -19,52 +19,53 @@
     version::Outcome,
 };
 
-/// Longest time between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(250);
-/// Bound on the answer to an order.
+/// Maximum interval between two checks for due work.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of an order to a target.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long after a window's end its counts are frozen: hosts append theirs within a second of it.
+/// Delay from the end of a window until its counts are frozen. Hosts append their counts within a
+/// second after the end.
 const FREEZE_DELAY_MS: u64 = 3_000;
-/// Time between two reads of the hosts' counts.
-const USAGE_LOOK_MS: u64 = 1_000;
-/// Time between two attempts to report a window.
-const REPORT_PAUSE_MS: u64 = 1_000;
-/// Pause after a host appended its counts, before it looks again.
-const USAGE_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between two reads of the counts that hosts append.
+const USAGE_POLL_INTERVAL_MS: u64 = 1_000;
+/// Interval between two attempts to report a window.
+const REPORT_RETRY_INTERVAL_MS: u64 = 1_000;
+/// Delay before a failed append of counts is retried.
+const USAGE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Whether this host holds the duties, and until when.
+/// This host's lease on the duties, which one host at a time carries out.
 #[derive(Debug, Default)]
-pub struct Desk(Mutex<Option<Hold>>);
+pub struct DutyLease(Mutex<Option<HeldLease>>);
 
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct HeldLease {
     epoch: u64,
     until: Millis,
 }
 
-impl Desk {
-    fn lock(&self) -> MutexGuard<'_, Option<Hold>> {
+impl DutyLease {
+    fn lock(&self) -> MutexGuard<'_, Option<HeldLease>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the duties over, or holds them longer.
-    pub fn hold(&self, epoch: u64, until: Millis) {
+    /// Acquires the lease, or extends it. An extended lease keeps its epoch.
+    pub fn renew(&self, epoch: u64, until: Millis) {
         let mut hold = self.lock();
         let epoch = hold.map_or(epoch, |hold| hold.epoch);
         if hold.is_none() {
             log::info!(epoch; "duties taken over");
         }
-        *hold = Some(Hold { epoch, until });
+        *hold = Some(HeldLease { epoch, until });
     }
 
-    /// Gives the duties up.
+    /// Releases the lease if it is held.
     pub fn release(&self) {
         if let Some(hold) = self.lock().take() {
             log::info!(epoch = hold.epoch; "duties given up");
         }
     }
 
-    /// Returns the epoch while the duties are held for certain.
+    /// Returns the epoch of the lease, or `None` if it isn't held or may have expired.
     fn epoch(&self) -> Option<u64> {
         let hold = *self.lock();
         hold.filter(|hold| lease_clock() < hold.until)
@@ -72,57 +73,65 @@
     }
 }
 
-/// Carries the duties out while this host holds them.
-pub struct Holder {
+/// Carries out the duties while this host holds the lease.
+pub struct DutyRunner {
     shared: Arc<Shared>,
-    desk: Arc<Desk>,
+    duty_lease: Arc<DutyLease>,
     loading: Arc<Mutex<HashMap<TargetName, Loading>>>,
-    /// When this host acted last, by the clock of leases.
-    acted: Option<Millis>,
+    /// When this host last sent an order or a usage report, by the lease clock.
+    last_action: Option<Millis>,
 }
 
-/// What a holder knows of one term.
+/// State of one term, during which the epoch of the lease stays the same.
 struct Term {
     epoch: u64,
+    /// Sequence number of the next append.
     seq: u64,
+    /// Reports of frozen windows, by window.
     frozen: BTreeMap<u64, WindowReport>,
+    /// Windows that have been reported in this term.
     reported: BTreeSet<u64>,
-    tried: HashMap<u64, u64>,
+    /// Unix time of the last attempt to report a window.
+    attempted_ms: HashMap<u64, u64>,
+    /// Counts of windows that aren't frozen yet.
     counts: BTreeMap<u64, HashMap<Workspace, u64>>,
-    /// A window whose freezing isn't confirmed: it is repeated unchanged.
-    freezing: Option<WindowReport>,
-    /// Keys of the counts that were added, since appends may be repeated.
-    added: HashSet<String>,
-    usage_next: u64,
-    usage_read: u64,
-    from: Millis,
+    /// A frozen window whose append failed; the append is retried with identical content.
+    unconfirmed: Option<WindowReport>,
+    /// Keys of the count records added so far, to skip duplicates from repeated appends.
+    seen_keys: HashSet<String>,
+    /// Offset of the next usage record to read.
+    usage_offset: u64,
+    /// Unix time of the last read of usage records.
+    usage_read_ms: u64,
+    /// Earliest time, by the lease clock, at which this host may act in this term.
+    active_from: Millis,
 }
 
-impl Holder {
-    /// Creates a holder.
-    pub fn new(shared: Arc<Shared>, desk: Arc<Desk>) -> Self {
+impl DutyRunner {
+    /// Creates a runner; it acts only while the lease is held.
+    pub fn new(shared: Arc<Shared>, duty_lease: Arc<DutyLease>) -> Self {
         Self {
-            acted: None,
-            desk,
+            last_action: None,
+            duty_lease,
             loading: Arc::default(),
             shared,
         }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process drains.
     pub fn run(mut self) {
         let mut term: Option<Term> = None;
         let mut seen = 0;
         while !self.shared.is_draining() {
-            self.shared.await_news(&mut seen, self.pause());
-            let Some(epoch) = self.desk.epoch() else {
+            self.shared.wait_for_change(&mut seen, self.poll_timeout());
+            let Some(epoch) = self.duty_lease.epoch() else {
                 continue;
             };
             if term.as_ref().is_none_or(|term| term.epoch != epoch) {
-                term = self.begin(epoch);
+                term = self.begin_term(epoch);
             }
             if let Some(current) = &mut term
-                && lease_clock() >= current.from
+                && lease_clock() >= current.active_from
             {
                 self.order_loads(current.epoch);
                 if let Err(error) = self.report_usage(current) {
@@ -135,15 +144,17 @@
         }
     }
 
-    /// Returns how long nothing is due: until a load ends, at most.
-    fn pause(&self) -> Duration {
+    /// Returns the time until the next load in progress is due, up to the maximum interval.
+    fn poll_timeout(&self) -> Duration {
         let now = self.shared.clock.now();
         let loading = self.loading.lock().unwrap_or_else(PoisonError::into_inner);
         let next = next_load(loading.values(), now).map(|next| (next - now).duration());
-        next.map_or(LOOK, |next| next.min(LOOK))
+        next.map_or(MAX_POLL_INTERVAL, |next| next.min(MAX_POLL_INTERVAL))
     }
 
-    fn begin(&self, epoch: u64) -> Option<Term> {
+    /// Fences earlier holders by an empty append under the new epoch, and loads the frozen windows.
+    /// Returns `None` if the store fails; the next round tries again.
+    fn begin_term(&self, epoch: u64) -> Option<Term> {
         let store = self.shared.store.as_ref();
         let writer = Writer { epoch, seq: 0 };
         let begun = store.append(Topic::Duty, 0, &[], Some(writer));
@@ -151,7 +162,7 @@
         let records = match read {
             Ok((records, _)) => records,
             Err(error) => {
-                log::warn!(error:%, epoch; "duties not begun yet");
+                log::warn!(error:%, epoch; "cannot start the term of the duties yet");
                 return None;
             }
         };
@@ -162,14 +173,16 @@
                 Ok((window, counts)) => {
                     frozen.insert(window, WindowReport { window, counts });
                 }
-                Err(error) => log::warn!(key:% = stored.record.key, error:%; "window left out"),
+                Err(error) => log::warn!(key:% = stored.record.key, error:%; "window skipped"),
             }
         }
-        // A host that held the duties before acts again only after the lease, so that turns never
-        // alternate within it. Where tokens aren't checked, an earlier holder's lease runs out first.
+        // A host that has held the duties before waits for one lease duration after its last
+        // action, so that holders never alternate within a lease. Without fencing, every new holder
+        // waits until the lease of an earlier one must have expired.
         let lease = Millis::from(self.shared.settings.lease);
-        let from = if self.shared.settings.fenced {
-            self.acted.map_or(Millis::ZERO, |acted| acted + lease)
+        let active_from = if self.shared.settings.fenced {
+            self.last_action
+                .map_or(Millis::ZERO, |last_action| last_action + lease)
         } else {
             lease_clock() + lease
         };
@@ -179,13 +192,13 @@
             seq: 1,
             frozen,
             reported: BTreeSet::new(),
-            tried: HashMap::new(),
+            attempted_ms: HashMap::new(),
             counts: BTreeMap::new(),
-            freezing: None,
-            added: HashSet::new(),
-            usage_next: 0,
-            usage_read: 0,
-            from,
+            unconfirmed: None,
+            seen_keys: HashSet::new(),
+            usage_offset: 0,
+            usage_read_ms: 0,
+            active_from,
         })
     }
 
@@ -196,6 +209,7 @@
         }
     }
 
+    /// Orders targets to load the newest versions of their models.
     fn order_loads(&mut self, epoch: u64) {
         let Some(configuration) = self.shared.configuration() else {
             return;
@@ -233,14 +247,15 @@
             }
         }
         for order in orders {
-            if self.desk.epoch() != Some(epoch) {
+            if self.duty_lease.epoch() != Some(epoch) {
                 return;
             }
-            self.acted = Some(lease_clock());
+            self.last_action = Some(lease_clock());
             self.send_order(order, epoch, now);
         }
     }
 
+    /// Sends an order on a thread of its own and records the result.
     fn send_order(&self, order: LoadOrder, epoch: u64, now: Millis) {
         let mut loading = self.loading.lock().unwrap_or_else(PoisonError::into_inner);
         let entry = Loading {
@@ -278,7 +293,7 @@
                     };
                     shared.reports.send_load(&shared, notice);
                 }
-                // Nothing is known to load; ordered again once the target is due.
+                // No load is known to have started. The target is ordered again once it is due.
                 Ok(Ordered::Busy | Ordered::Fenced | Ordered::Refused) => {
                     if let Some(load) = loading.get_mut(target) {
                         load.version = 0;
@@ -298,19 +313,20 @@
             }
         });
         if let Err(error) = spawned {
-            log::error!(error:%; "no thread for an order");
+            log::error!(error:%; "cannot start a thread for an order");
         }
     }
 
+    /// Reads the hosts' counts, freezes ended windows and reports frozen ones.
     fn report_usage(&mut self, term: &mut Term) -> Result<(), StoreError> {
         let now = unix_ms();
         let shared = Arc::clone(&self.shared);
         let late_ms = shared.settings.usage_deadline.as_millis() as u64;
-        if let Some(report) = term.freezing.take() {
+        if let Some(report) = term.unconfirmed.take() {
             self.freeze(term, report)?;
         }
-        if now >= term.usage_read + USAGE_LOOK_MS {
-            term.usage_read = now;
+        if now >= term.usage_read_ms + USAGE_POLL_INTERVAL_MS {
+            term.usage_read_ms = now;
             self.read_usage(term, now)?;
         }
         let ended: Vec<u64> = term
@@ -322,31 +338,35 @@
         for window in ended {
             let counts = term.counts.remove(&window).unwrap_or_default();
             if term.frozen.contains_key(&window) {
-                log::info!(window, counts = counts.len(); "counts came after their window was frozen");
+                log::info!(window, counts = counts.len(); "counts arrived after their window was frozen");
                 continue;
             }
             let mut counts: Vec<(Workspace, u64)> = counts.into_iter().collect();
             counts.sort();
             self.freeze(term, WindowReport { window, counts })?;
         }
-        let open: Vec<WindowReport> = term
+        let unreported: Vec<WindowReport> = term
             .frozen
             .values()
             .filter(|report| {
                 let due = shared.usage.end_ms(report.window) + late_ms;
-                let tried = term.tried.get(&report.window).copied().unwrap_or_default();
+                let attempted_ms = term
+                    .attempted_ms
+                    .get(&report.window)
+                    .copied()
+                    .unwrap_or_default();
                 now <= due
-                    && now >= tried + REPORT_PAUSE_MS
+                    && now >= attempted_ms + REPORT_RETRY_INTERVAL_MS
                     && !term.reported.contains(&report.window)
             })
             .cloned()
             .collect();
-        for report in open {
-            if self.desk.epoch() != Some(term.epoch) {
+        for report in unreported {
+            if self.duty_lease.epoch() != Some(term.epoch) {
                 return Ok(());
             }
-            term.tried.insert(report.window, now);
-            self.acted = Some(lease_clock());
+            term.attempted_ms.insert(report.window, now);
+            self.last_action = Some(lease_clock());
             let reported = shared.duties.report(&report, &self.fence(term.epoch));
             let total: u64 = report.counts.iter().map(|(_, count)| count).sum();
             match reported {
@@ -367,7 +387,8 @@
         Ok(())
     }
 
-    /// Stores a window's counts before they are reported: every later report repeats them.
+    /// Stores the counts of a window before they are reported, so that repeated reports and those
+    /// of later holders are identical.
     fn freeze(&self, term: &mut Term, report: WindowReport) -> Result<(), StoreError> {
         let value = (report.window, &report.counts);
         let value = postcard::to_stdvec(&value).map_err(|error| StoreError::Unreadable {
@@ -383,7 +404,7 @@
             .store
             .append(Topic::Duty, 0, &[record], Some(writer));
         if let Err(error) = appended {
-            term.freezing = Some(report);
+            term.unconfirmed = Some(report);
             return Err(error);
         }
         term.seq += 1;
@@ -392,21 +413,22 @@
         Ok(())
     }
 
-    /// Adds the counts that hosts have appended.
+    /// Adds counts that hosts have appended since the last read, and drops windows whose reporting
+    /// deadline has passed.
     fn read_usage(&self, term: &mut Term, now: u64) -> Result<(), StoreError> {
         let store = self.shared.store.as_ref();
         loop {
-            let tail = match store.read(Topic::Usage, 0, term.usage_next, Duration::ZERO) {
-                Err(StoreError::Gone { first }) if first > term.usage_next => {
-                    term.usage_next = first;
+            let tail = match store.read(Topic::Usage, 0, term.usage_offset, Duration::ZERO) {
+                Err(StoreError::Gone { first }) if first > term.usage_offset => {
+                    term.usage_offset = first;
                     continue;
                 }
                 read => read?,
             };
             let read = tail.records.len();
-            term.usage_next = tail.next;
+            term.usage_offset = tail.next;
             for stored in tail.records {
-                if !term.added.insert(stored.record.key.clone()) {
+                if !term.seen_keys.insert(stored.record.key.clone()) {
                     continue;
                 }
                 let value = stored.record.value.unwrap_or_default();
@@ -417,7 +439,7 @@
                             *known.entry(workspace).or_default() += count;
                         }
                     }
-                    Err(error) => log::warn!(offset = stored.offset, error:%; "counts left out"),
+                    Err(error) => log::warn!(offset = stored.offset, error:%; "counts skipped"),
                 }
             }
             if read == 0 {
@@ -432,7 +454,8 @@
     }
 }
 
-/// Appends the counts of ended windows until the process ends; what is open is appended last.
+/// Appends the counts of ended windows until the process drains. The counts of open windows are
+/// appended last, while draining.
 pub fn append_usage(shared: &Arc<Shared>) {
     let mut unsent: Vec<Keyed> = Vec::new();
     let mut number = 0;
@@ -447,15 +470,15 @@
                     let key = format!("{window}/{}/{number}", shared.member);
                     unsent.push(Keyed::new(key, value));
                 }
-                Err(error) => log::error!(error:%, window; "counts can't be encoded"),
+                Err(error) => log::error!(error:%, window; "cannot encode counts"),
             }
         }
         if !unsent.is_empty() {
             match shared.store.append(Topic::Usage, 0, &unsent, None) {
                 Ok(()) => unsent.clear(),
-                // Their keys tell repeated ones apart.
+                // The append may have succeeded; readers recognize duplicates by their keys.
                 Err(error) => {
-                    log::warn!(records = unsent.len(), error:%; "counts not appended yet");
+                    log::warn!(records = unsent.len(), error:%; "cannot append counts yet");
                 }
             }
         }
@@ -466,7 +489,7 @@
         let pause = if unsent.is_empty() && !draining {
             Duration::from_millis(length - now % length) + Duration::from_millis(50)
         } else {
-            USAGE_PAUSE
+            USAGE_RETRY_DELAY
         };
         thread::sleep(pause.min(Duration::from_secs(1)));
     }
--- a/crates/godwitspool-host/src/process/host.rs
+++ b/crates/godwitspool-host/src/process/host.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Adapters, Shared, calls,
-    duties::{Desk, Holder, append_usage},
+    duties::{DutyLease, DutyRunner, append_usage},
     membership::Membership,
     tails,
 };
@@ -19,14 +19,14 @@
     store::Topic,
 };
 
-/// Time after the termination signal in which new connections still come: the platform takes a host
-/// out after two misses of a question a second.
-const STILL_CHOSEN: Duration = Duration::from_millis(2_500);
-/// Time kept back for the end of the process before it is killed.
-const END_RESERVE: Duration = Duration::from_secs(1);
-/// Time between two looks at what still runs during the drain.
-const LOOK: Duration = Duration::from_millis(50);
-/// Stack of the process's threads.
+/// Time after SIGTERM during which new connections must still be accepted. The platform probes
+/// readiness once per second and stops routing to a host after two failed probes.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(2_500);
+/// Part of the grace period reserved for process exit before SIGKILL.
+const SHUTDOWN_RESERVE: Duration = Duration::from_secs(1);
+/// Interval between two checks for remaining work while draining.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Stack size of the process's threads.
 const STACK_BYTES: usize = 512 * 1024;
 
 /// A running host process.
@@ -34,8 +34,10 @@
 pub struct Host {
     shared: Arc<Shared>,
     front: Server,
-    others: Vec<Server>,
-    leaving: Vec<JoinHandle<()>>,
+    /// Servers for readiness, metrics and other hosts; they run until the drain is complete.
+    other_servers: Vec<Server>,
+    /// Threads that hand over state while draining and must finish before the process exits.
+    drain_threads: Vec<JoinHandle<()>>,
 }
 
 impl Host {
@@ -43,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// When an address can't be bound or a thread can't be started.
+    /// When an address can't be bound, or a pipe or thread can't be created.
     pub fn start(settings: Settings, adapters: Adapters) -> io::Result<Self> {
         let shared = Arc::new(Shared::new(settings, adapters)?);
         let settings = &shared.settings;
@@ -53,13 +55,13 @@
             "host starts"
         );
         let front = serve(&shared, settings.front, true, calls::serve)?;
-        let mut others = vec![
+        let mut other_servers = vec![
             serve(&shared, settings.ready, false, answer_ready)?,
             serve(&shared, settings.metrics, false, answer_metrics)?,
             serve(&shared, settings.peer, false, calls::serve_peer)?,
         ];
         if let Some(seed) = settings.seed {
-            others.push(serve(&shared, seed, false, calls::serve_peer)?);
+            other_servers.push(serve(&shared, seed, false, calls::serve_peer)?);
         }
         for topic in [Topic::Operator, Topic::Targets] {
             spawn(&shared, "tail", move |shared| tails::follow(&shared, topic))?;
@@ -67,31 +69,31 @@
         spawn(&shared, "reports", |shared| shared.reports.receive(&shared))?;
         spawn(&shared, "runner", |shared| {
             if let Err(error) = Runner::new(shared).run() {
-                log::error!(error:%; "runner ended");
+                log::error!(error:%; "batch runner failed");
             }
         })?;
         spawn(&shared, "progress", |shared| save_running(&shared))?;
-        let desk = Arc::new(Desk::default());
-        let own = Arc::clone(&desk);
+        let duty_lease = Arc::new(DutyLease::default());
+        let runner_lease = Arc::clone(&duty_lease);
         spawn(&shared, "duties", move |shared| {
-            Holder::new(shared, own).run();
+            DutyRunner::new(shared, runner_lease).run();
         })?;
-        let leaving = vec![
+        let drain_threads = vec![
             spawn(&shared, "membership", move |shared| {
-                Membership::new(shared, desk).run();
+                Membership::new(shared, duty_lease).run();
             })?,
             spawn(&shared, "usage", |shared| append_usage(&shared))?,
         ];
         Ok(Self {
             shared,
             front,
-            others,
-            leaving,
+            other_servers,
+            drain_threads,
         })
     }
 
-    /// Takes over settings that may change while the process runs, which are the seeds. Returns
-    /// whether others have changed too: those hold from the next start.
+    /// Applies settings that may change at run time, which are only the seeds. Returns whether
+    /// other settings have changed too; those take effect at the next start.
     pub fn reload(&self, settings: &Settings) -> bool {
         self.shared.store.add_seeds(&settings.seeds);
         let seeds = self.shared.settings.seeds.clone();
@@ -102,26 +104,26 @@
         unchanged != self.shared.settings
     }
 
-    /// Hands the partitions over, finishes what callers wait for, and returns once that is done or
-    /// the time is up.
+    /// Hands over the partitions and finishes requests in flight. Returns once that is done or the
+    /// grace period has ended.
     pub fn drain(self) {
         let began = Instant::now();
-        let grace = self.shared.settings.grace.saturating_sub(END_RESERVE);
+        let grace = self.shared.settings.grace.saturating_sub(SHUTDOWN_RESERVE);
         log::info!(connections = self.front.open_connections(); "host drains");
         self.shared.drain();
         self.front.drain();
-        let still = STILL_CHOSEN.min(grace / 2);
-        while began.elapsed() < still {
-            thread::sleep(LOOK);
+        let listen_for = DEREGISTRATION_DELAY.min(grace / 2);
+        while began.elapsed() < listen_for {
+            thread::sleep(POLL_INTERVAL);
         }
         self.front.stop();
         while !self.front.is_ended() && began.elapsed() < grace {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
-        while !self.leaving.iter().all(JoinHandle::is_finished) && began.elapsed() < grace {
-            thread::sleep(LOOK);
+        while !self.drain_threads.iter().all(JoinHandle::is_finished) && began.elapsed() < grace {
+            thread::sleep(POLL_INTERVAL);
         }
-        for server in &self.others {
+        for server in &self.other_servers {
             server.stop();
         }
         let took_ms = began.elapsed().as_millis() as u64;
@@ -129,19 +131,20 @@
     }
 }
 
+/// Starts a server. Only if `use_configured` is set do the bounds of the configuration apply to it.
 fn serve(
     shared: &Arc<Shared>,
     address: SocketAddr,
-    bounded: bool,
+    use_configured: bool,
     handle: impl Fn(&Arc<Shared>, &mut Caller, &Request) -> io::Result<()> + Send + Sync + 'static,
 ) -> io::Result<Server> {
-    let (own, bounds_of) = (Arc::clone(shared), Arc::clone(shared));
+    let (handler_shared, bounds_shared) = (Arc::clone(shared), Arc::clone(shared));
     let bounds = move || {
-        let configuration = bounds_of.configuration().filter(|_| bounded);
+        let configuration = bounds_shared.configuration().filter(|_| use_configured);
         configuration.map_or_else(Bounds::default, |configuration| configuration.bounds)
     };
     Server::start(address, bounds, move |caller, request| {
-        handle(&own, caller, &request)
+        handle(&handler_shared, caller, &request)
     })
 }
 
@@ -150,11 +153,11 @@
     name: &str,
     run: impl FnOnce(Arc<Shared>) + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
-    let own = Arc::clone(shared);
+    let thread_shared = Arc::clone(shared);
     let thread = thread::Builder::new()
         .name(name.to_owned())
         .stack_size(STACK_BYTES);
-    thread.spawn(move || run(own))
+    thread.spawn(move || run(thread_shared))
 }
 
 fn answer_ready(shared: &Arc<Shared>, caller: &mut Caller, _: &Request) -> io::Result<()> {
--- a/crates/godwitspool-host/src/process/membership.rs
+++ b/crates/godwitspool-host/src/process/membership.rs
@@ -2,50 +2,53 @@
 
 use godwitspool_types::Millis;
 
-use super::{Shared, duties::Desk, shared::lease_clock};
+use super::{Shared, duties::DutyLease, shared::lease_clock};
 use crate::{
     batch::Owner,
     store::{Assignment, Store, Topic},
 };
 
-/// A member that has sent nothing for so long loses its partitions: short beside the seconds in
-/// which a batch's results are due, long beside the store's slow answers.
+/// Time without a renewal after which a member loses its partitions. It is short compared to the
+/// seconds within which batch results are due, and long compared to slow responses of the store.
 const MEMBER_TTL: Duration = Duration::from_secs(2);
-/// Renewals within that time.
-const RENEWALS: u32 = 3;
-/// Bits of an epoch that are drawn at random, so that no two owners ever share one.
+/// Number of renewals attempted within the TTL.
+const RENEWALS_PER_TTL: u32 = 3;
+/// Number of random low bits in an epoch, so that two owners don't share one.
 const EPOCH_RANDOM_BITS: u32 = 16;
 
-/// Stays in the hosts' group and owns the partitions that the store deals to this host.
+/// Keeps this host in the hosts' group and owns the partitions that the store assigns to it.
 pub struct Membership {
     shared: Arc<Shared>,
-    desk: Arc<Desk>,
-    owners: HashMap<u32, Held>,
+    duty_lease: Arc<DutyLease>,
+    owners: HashMap<u32, OwnedPartition>,
     generation: u64,
 }
 
-struct Held {
+/// An owned partition.
+struct OwnedPartition {
     owner: Owner,
+    /// Generation of the group in which ownership started.
     generation: u64,
 }
 
 impl Membership {
-    /// Creates a member that holds nothing.
-    pub fn new(shared: Arc<Shared>, desk: Arc<Desk>) -> Self {
+    /// Creates a member that owns no partitions.
+    pub fn new(shared: Arc<Shared>, duty_lease: Arc<DutyLease>) -> Self {
         Self {
-            desk,
+            duty_lease,
             generation: 0,
             owners: HashMap::new(),
             shared,
         }
     }
 
-    /// Renews the membership until the process drains, then gives everything up.
+    /// Renews the membership until the process drains, then hands over all partitions and leaves
+    /// the group.
     pub fn run(mut self) {
         let ttl = MEMBER_TTL.max(self.shared.settings.store.member_ttl);
         let mut failing = false;
         while !self.shared.is_draining() {
-            let mut given_up = false;
+            let mut released = false;
             let sent = lease_clock();
             match self
                 .shared
@@ -54,55 +57,56 @@
             {
                 Ok(assignment) => {
                     if failing {
-                        log::info!(generation = assignment.generation; "membership renewed again");
+                        log::info!(generation = assignment.generation; "membership renewed after failures");
                     }
                     failing = false;
-                    given_up = self.take(&assignment, sent + Millis::from(ttl));
-                    // Other hosts must be known before the store turns this one away.
+                    released = self.apply_assignment(&assignment, sent + Millis::from(ttl));
+                    // The addresses of other hosts must be known before the store becomes
+                    // unreachable, so that calls can be relayed.
                     self.shared.peers.refresh(&self.shared);
                 }
                 Err(error) => {
                     if !failing {
-                        log::warn!(error:%, generation = self.generation; "membership not renewed");
+                        log::warn!(error:%, generation = self.generation; "membership renewal failed");
                     }
                     failing = true;
                 }
             }
-            // The store deals what was given up to others at the next renewal.
-            if !given_up {
-                thread::sleep(ttl / RENEWALS);
+            // The store reassigns released partitions at the next renewal, so it follows at once.
+            if !released {
+                thread::sleep(ttl / RENEWALS_PER_TTL);
             }
         }
-        self.desk.release();
+        self.duty_lease.release();
         hand_over(self.owners.values());
         match self.shared.store.leave(&self.shared.member) {
             Ok(()) => log::info!("left the hosts' group"),
-            Err(error) => log::warn!(error:%; "leaving the hosts' group not confirmed"),
+            Err(error) => log::warn!(error:%; "leaving the hosts' group failed"),
         }
     }
 
-    /// Takes over what the store has dealt; tells whether partitions were given up.
-    fn take(&mut self, assignment: &Assignment, until: Millis) -> bool {
+    /// Applies the store's assignment. Returns whether partitions were released.
+    fn apply_assignment(&mut self, assignment: &Assignment, until: Millis) -> bool {
         let changed = assignment.generation != self.generation;
         self.generation = assignment.generation;
         if changed {
             log::info!(generation = assignment.generation, parts:? = assignment.parts; "partitions dealt");
-            self.shared.peers.suspect();
+            self.shared.peers.mark_stale();
         }
-        let dealt = |topic| {
+        let assigned = |topic| {
             let parts = assignment
                 .parts
                 .iter()
                 .filter(move |(held, _)| *held == topic);
             parts.map(|(_, part)| *part)
         };
-        if dealt(Topic::Duty).next().is_some() {
-            self.desk.hold(epoch(assignment.generation), until);
+        if assigned(Topic::Duty).next().is_some() {
+            self.duty_lease.renew(epoch(assignment.generation), until);
         } else {
-            self.desk.release();
+            self.duty_lease.release();
         }
-        let parts: Vec<u32> = dealt(Topic::Results).collect();
-        let (kept, lost): (HashMap<u32, Held>, HashMap<u32, Held>) =
+        let parts: Vec<u32> = assigned(Topic::Results).collect();
+        let (kept, lost): (HashMap<u32, OwnedPartition>, HashMap<u32, OwnedPartition>) =
             std::mem::take(&mut self.owners)
                 .into_iter()
                 .partition(|(part, _)| parts.contains(part));
@@ -114,13 +118,13 @@
                 held.owner.is_lost() && held.generation != assignment.generation
             });
             if held.is_none() || fenced {
-                self.own(part, assignment.generation);
+                self.start_owner(part, assignment.generation);
             }
         }
         !lost.is_empty()
     }
 
-    fn own(&mut self, part: u32, generation: u64) {
+    fn start_owner(&mut self, part: u32, generation: u64) {
         let started = Owner::start(
             Arc::clone(&self.shared.store) as Arc<dyn Store>,
             Arc::clone(&self.shared.owned_batches),
@@ -130,15 +134,16 @@
         );
         match started {
             Ok(owner) => {
-                self.owners.insert(part, Held { owner, generation });
+                self.owners
+                    .insert(part, OwnedPartition { owner, generation });
             }
-            Err(error) => log::error!(error:%, partition = part; "no thread for a partition"),
+            Err(error) => log::error!(error:%, partition = part; "cannot start partition thread"),
         }
     }
 }
 
-/// Gives partitions up, all at once: each takes a few calls to the store.
-fn hand_over<'a>(held: impl Iterator<Item = &'a Held>) {
+/// Hands over partitions in parallel, since each takes several calls to the store.
+fn hand_over<'a>(held: impl Iterator<Item = &'a OwnedPartition>) {
     thread::scope(|scope| {
         for held in held {
             scope.spawn(|| held.owner.hand_over());
@@ -146,7 +151,8 @@
     });
 }
 
-/// Returns an epoch that is higher than those of earlier generations and unlike any other.
+/// Returns an epoch that is higher than those of earlier generations and, through its random bits,
+/// differs from others of the same generation.
 fn epoch(generation: u64) -> u64 {
     let random = rand::random::<u64>() & ((1 << EPOCH_RANDOM_BITS) - 1);
     (generation << EPOCH_RANDOM_BITS) | random
--- a/crates/godwitspool-host/src/process/mod.rs
+++ b/crates/godwitspool-host/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for the process: shared state, threads that follow the store, duties, peers.
+//! Process-wide state and threads: the shared state, listeners, replication from the store, group
+//! membership, duties, and communication with other hosts.
 
 mod calls;
 mod duties;
@@ -15,5 +16,5 @@
 pub use relay::Relay;
 pub use reports::{LoadNotice, Notice, RunReport};
 pub use shared::{Adapters, Shared, unix_ms};
-pub use tails::news_wait;
-pub use usage::UsageBook;
+pub use tails::read_wait;
+pub use usage::UsageCounts;
--- a/crates/godwitspool-host/src/process/peers.rs
+++ b/crates/godwitspool-host/src/process/peers.rs
@@ -12,48 +12,51 @@
     store::{Holding, Store, Topic},
 };
 
-/// Age after which the list of holders is asked for anew when it is used.
-const AGE_MAX: Millis = Millis(5_000);
-/// Least time between two such questions, so that a failing peer doesn't multiply calls.
-const AGE_MIN: Millis = Millis(250);
+/// Age after which the list of holders is refreshed when it is used.
+const MAX_AGE: Millis = Millis(5_000);
+/// Minimum interval between two refreshes, so that a failing peer doesn't cause a flood of calls.
+const MIN_REFRESH_INTERVAL: Millis = Millis(250);
 
-/// Other hosts, and which of them owns what.
+/// Cached list of which host holds which partition.
 #[derive(Debug, Default)]
-pub struct Peers(Mutex<Known>);
+pub struct Peers(Mutex<HoldingsCache>);
 
 #[derive(Debug, Default)]
-struct Known {
-    asked: Option<Millis>,
+struct HoldingsCache {
+    /// When the list was last requested.
+    requested_at: Option<Millis>,
     holdings: Vec<Holding>,
-    suspect: bool,
+    /// Whether the list must be refreshed before its maximum age.
+    stale: bool,
 }
 
 impl Peers {
-    fn lock(&self) -> MutexGuard<'_, Known> {
+    fn lock(&self) -> MutexGuard<'_, HoldingsCache> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Has the list asked for anew before it is used again.
-    pub fn suspect(&self) {
-        self.lock().suspect = true;
+    /// Marks the list as stale, so that it is refreshed before its next use, except within the
+    /// minimum interval.
+    pub fn mark_stale(&self) {
+        self.lock().stale = true;
     }
 
-    /// Returns the address of the host that holds a partition; `None` if it isn't known or is this
-    /// host.
+    /// Returns the address of the host that holds a partition, or `None` if the holder is unknown
+    /// or is this host.
     pub fn holder(&self, shared: &Shared, topic: Topic, part: u32) -> Option<SocketAddr> {
         self.refresh(shared);
-        let known = self.lock();
-        let mut holdings = known.holdings.iter();
+        let cache = self.lock();
+        let mut holdings = cache.holdings.iter();
         let holding = holdings.find(|holding| holding.topic == topic && holding.part == part)?;
         let address = address(&holding.member)?;
         (address != shared.settings.peer).then_some(address)
     }
 
-    /// Returns the addresses of the other hosts that hold a partition.
+    /// Returns the addresses of all other hosts that hold at least one partition.
     pub fn holders(&self, shared: &Shared) -> Vec<SocketAddr> {
         self.refresh(shared);
-        let known = self.lock();
-        let held = known
+        let cache = self.lock();
+        let held = cache
             .holdings
             .iter()
             .filter_map(|holding| address(&holding.member));
@@ -65,41 +68,41 @@
         addresses
     }
 
-    /// Asks for the list if it is due.
+    /// Refreshes the list if it is too old or marked as stale.
     pub fn refresh(&self, shared: &Shared) {
         let now = shared.clock.now();
-        let mut known = self.lock();
-        let age = known.asked.map(|asked| now - asked);
+        let mut cache = self.lock();
+        let age = cache.requested_at.map(|requested_at| now - requested_at);
         let due = match age {
             None => true,
-            Some(age) => age >= AGE_MAX || (known.suspect && age >= AGE_MIN),
+            Some(age) => age >= MAX_AGE || (cache.stale && age >= MIN_REFRESH_INTERVAL),
         };
         if !due {
             return;
         }
-        known.asked = Some(now);
-        drop(known);
+        cache.requested_at = Some(now);
+        drop(cache);
         match shared.store.holdings() {
             Ok(holdings) => {
-                let mut known = self.lock();
-                known.holdings = holdings;
-                known.suspect = false;
+                let mut cache = self.lock();
+                cache.holdings = holdings;
+                cache.stale = false;
             }
-            Err(error) => log::info!(error:%; "holders of partitions unknown, older list used"),
+            Err(error) => log::info!(error:%; "list of partition holders not refreshed"),
         }
     }
 }
 
-/// Returns where a member of the hosts' group is reached.
+/// Returns the address in a member's name, which has the form `address#incarnation`.
 pub fn address(member: &str) -> Option<SocketAddr> {
     member.split('#').next()?.parse().ok()
 }
 
-/// Sends a request to another host.
+/// Sends a request to another host and blocks until the response is complete.
 ///
 /// # Errors
 ///
-/// When no whole answer comes in time.
+/// When the exchange fails or no complete response arrives within the timeout.
 pub fn call(
     shared: &Shared,
     address: SocketAddr,
--- a/crates/godwitspool-host/src/process/relay.rs
+++ b/crates/godwitspool-host/src/process/relay.rs
@@ -1,4 +1,4 @@
-//! The store through another host, while it turns this one away.
+//! Relays store calls through other hosts while the store is unreachable from this one.
 
 use std::{
     collections::HashMap,
@@ -17,19 +17,19 @@
     store::{Assignment, Holding, Keyed, Page, READ_SLACK, Store, StoreError, Tail, Topic, Writer},
 };
 
-/// Path under which a host makes calls to the store for another.
+/// Path of store calls that a host makes on behalf of another.
 pub const RELAY_PATH: &str = "/godwitspool/store";
-/// While the store turns this host away it is tried directly once in this time.
-const DIRECT_PERIOD: Duration = Duration::from_secs(1);
-/// Hosts that are asked for one call.
-const PEERS_ASKED: usize = 3;
-/// Bound on a host's answer beside the store's own time.
-const RELAY_SLACK: Duration = Duration::from_millis(300);
-/// Pause after a relayed read that brought nothing: relayed reads don't wait for news, so that a
-/// host which can't reach the store either is found out soon.
-const NEWS_PAUSE: Duration = Duration::from_millis(200);
+/// Interval at which the store is called directly while it is unreachable.
+const DIRECT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of hosts tried for one call.
+const MAX_PEERS_PER_CALL: usize = 3;
+/// Time allowed for a host's response in addition to the store's own timeout.
+const RELAY_TIMEOUT_MARGIN: Duration = Duration::from_millis(300);
+/// Delay after a relayed read without records. Relayed reads don't wait for new records, so that a
+/// host that can't reach the store either is detected quickly.
+const EMPTY_READ_DELAY: Duration = Duration::from_millis(200);
 
-/// A call to the store on another host's behalf.
+/// A store call as it is sent to another host.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 enum StoreCall {
     Append(Topic, u32, Vec<Keyed>, Option<Writer>),
@@ -40,7 +40,7 @@
     Read(Topic, u32, u64, Duration),
 }
 
-/// What the store answered.
+/// Result of a successful store call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 enum StoreAnswer {
     Done,
@@ -50,83 +50,84 @@
     Tail(Tail),
 }
 
-/// What a relay counts.
+/// Metrics of a relay.
 #[derive(Debug)]
 pub struct RelayMetrics {
-    /// Calls by way and outcome.
+    /// Number of calls by way (direct or relayed) and outcome.
     pub calls: Reasons,
-    /// Times of calls, those that wait for news left out.
+    /// Durations of direct calls in seconds, without reads, which wait for new records.
     pub seconds: Histogram,
 }
 
-/// The store, directly or through another host.
+/// A store that is called directly, or through another host while it is unreachable.
 #[derive(Debug)]
 pub struct Relay {
     metrics: RelayMetrics,
     direct: Arc<dyn Store>,
-    own: Vec<SocketAddr>,
+    /// Addresses of this host, which are never used as peers.
+    own_addresses: Vec<SocketAddr>,
     pool: Pool,
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// When the store was tried directly last, for each partition where it turns this host away; one
-    /// entry stands for the hosts' group.
-    away: HashMap<Option<(Topic, u32)>, Instant>,
-    /// Other hosts; the one that answered last stands first.
+    /// When the store was last called directly, for each partition that is unreachable there. The
+    /// key `None` stands for the hosts' group.
+    unreachable: HashMap<Option<(Topic, u32)>, Instant>,
+    /// Other hosts in the order in which they are tried.
     peers: Vec<SocketAddr>,
 }
 
 impl Relay {
-    /// Creates a relay that knows the seeds.
+    /// Creates a relay whose first peers are the seeds, except this host's own addresses.
     pub fn new(
         direct: Arc<dyn Store>,
         seeds: &[SocketAddr],
-        own: Vec<SocketAddr>,
+        own_addresses: Vec<SocketAddr>,
         metrics: RelayMetrics,
     ) -> Self {
         let peers = seeds
             .iter()
             .copied()
-            .filter(|seed| !own.contains(seed))
+            .filter(|seed| !own_addresses.contains(seed))
             .collect();
         Self {
             metrics,
             direct,
-            own,
+            own_addresses,
             pool: Pool::default(),
             state: Mutex::new(State {
-                away: HashMap::new(),
+                unreachable: HashMap::new(),
                 peers,
             }),
         }
     }
 
-    /// Takes over new seeds beside the hosts that are known.
+    /// Adds seeds to the known hosts.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         let mut state = self.lock();
         for seed in seeds {
-            if !self.own.contains(seed) && !state.peers.contains(seed) {
+            if !self.own_addresses.contains(seed) && !state.peers.contains(seed) {
                 state.peers.push(*seed);
             }
         }
     }
 
-    /// Carries out a call that another host sent.
+    /// Executes a call of another host directly on the store, and returns the encoded result.
     pub fn serve(&self, request: &Request) -> Response {
         let call = match postcard::from_bytes::<StoreCall>(&request.body) {
             Ok(call) => call,
             Err(error) => {
-                log::warn!(error:%; "relayed call can't be read");
+                log::warn!(error:%; "invalid relayed store call");
                 return Response::new(400, Vec::new());
             }
         };
-        let answer = perform(self.direct.as_ref(), &call);
+        let answer = execute(self.direct.as_ref(), &call);
         match postcard::to_stdvec(&answer) {
             Ok(bytes) => Response::new(200, bytes),
             Err(error) => {
-                log::error!(error:%; "relayed answer can't be encoded");
+                log::error!(error:%; "cannot encode the result of a relayed store call");
                 Response::new(500, Vec::new())
             }
         }
@@ -136,23 +137,25 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Calls the store directly or, if that fails, through other hosts. While the store is
+    /// unreachable and other hosts are known, it is called directly only once per retry interval.
     fn call(&self, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
-        let place = call.place();
+        let place = call.partition();
         let mut state = self.lock();
-        let alone = state.peers.is_empty();
-        let tried = state.away.get_mut(&place);
-        let due = tried
+        let no_peers = state.peers.is_empty();
+        let last_direct = state.unreachable.get_mut(&place);
+        let due = last_direct
             .as_ref()
-            .is_none_or(|tried| tried.elapsed() >= DIRECT_PERIOD);
-        let direct = due || alone;
-        if let Some(tried) = tried.filter(|_| direct) {
-            *tried = Instant::now();
+            .is_none_or(|last_direct| last_direct.elapsed() >= DIRECT_RETRY_INTERVAL);
+        let direct = due || no_peers;
+        if let Some(last_direct) = last_direct.filter(|_| direct) {
+            *last_direct = Instant::now();
         }
         drop(state);
         let mut failure = None;
         if direct {
             let began = Instant::now();
-            let answer = perform(self.direct.as_ref(), call);
+            let answer = execute(self.direct.as_ref(), call);
             if !matches!(call, StoreCall::Read(..)) {
                 self.metrics.seconds.observe(began.elapsed().as_secs_f64());
             }
@@ -163,22 +166,27 @@
             });
             match answer {
                 Err(error @ (StoreError::NotDone { .. } | StoreError::Unknown { .. })) => {
-                    if self.lock().away.insert(place, Instant::now()).is_none() {
+                    if self
+                        .lock()
+                        .unreachable
+                        .insert(place, Instant::now())
+                        .is_none()
+                    {
                         log::warn!(place:?, error:%; "store lost, other hosts are asked");
                     }
                     failure = Some(error);
                 }
                 answer => {
-                    if self.lock().away.remove(&place).is_some() {
+                    if self.lock().unreachable.remove(&place).is_some() {
                         log::info!(place:?; "store regained");
                     }
                     return answer;
                 }
             }
         }
-        let answer = self.ask(call, failure);
+        let answer = self.call_peers(call, failure);
         if matches!(&answer, Ok(StoreAnswer::Tail(tail)) if tail.records.is_empty()) {
-            thread::sleep(NEWS_PAUSE);
+            thread::sleep(EMPTY_READ_DELAY);
         }
         self.metrics.calls.count(if answer.is_ok() {
             "relayed"
@@ -188,8 +196,9 @@
         answer
     }
 
-    /// Asks other hosts. The outcome is unknown if it is so at any of the tries.
-    fn ask(
+    /// Calls the store through other hosts, one after the other. If any attempt has an unknown
+    /// outcome, so has the call.
+    fn call_peers(
         &self,
         call: &StoreCall,
         mut failure: Option<StoreError>,
@@ -204,10 +213,15 @@
             reason: error.to_string(),
         })?;
         let peers = self.lock().peers.clone();
-        for peer in peers.into_iter().take(PEERS_ASKED) {
+        for peer in peers.into_iter().take(MAX_PEERS_PER_CALL) {
             let request = Request::new("POST", RELAY_PATH, body.clone());
-            let answer = Exchange::call(&self.pool, peer, &request, READ_SLACK + RELAY_SLACK);
-            let late = matches!(answer, Err(CallError::Late { .. }));
+            let answer = Exchange::call(
+                &self.pool,
+                peer,
+                &request,
+                READ_SLACK + RELAY_TIMEOUT_MARGIN,
+            );
+            let timed_out = matches!(answer, Err(CallError::Late { .. }));
             let error = match answer {
                 Ok(answer) if answer.status == 200 => {
                     match postcard::from_bytes::<Result<StoreAnswer, StoreError>>(&answer.body) {
@@ -215,7 +229,7 @@
                             error @ (StoreError::NotDone { .. } | StoreError::Unknown { .. }),
                         )) => error,
                         Ok(answer) => {
-                            self.prefer(peer);
+                            self.move_to_front(peer);
                             return answer;
                         }
                         Err(error) => StoreError::Unknown {
@@ -224,7 +238,7 @@
                     }
                 }
                 Ok(answer) => StoreError::NotDone {
-                    reason: format!("{peer} answers {}", answer.status),
+                    reason: format!("{peer} responded with status {}", answer.status),
                 },
                 Err(error) if error.was_sent() => StoreError::Unknown {
                     reason: format!("{peer}: {error}"),
@@ -233,13 +247,13 @@
                     reason: format!("{peer}: {error}"),
                 },
             };
-            self.defer(peer);
-            let known = matches!(failure, None | Some(StoreError::NotDone { .. }));
-            if known {
+            self.move_to_back(peer);
+            let replaceable = matches!(failure, None | Some(StoreError::NotDone { .. }));
+            if replaceable {
                 failure = Some(error);
             }
-            if late {
-                // The time of the call is spent; its caller repeats it.
+            if timed_out {
+                // The time allowed for the call is used up; its caller retries.
                 break;
             }
         }
@@ -248,30 +262,30 @@
         }))
     }
 
-    /// Asks a host first from now on.
-    fn prefer(&self, peer: SocketAddr) {
+    /// Moves a host to the front, so that it is tried first.
+    fn move_to_front(&self, peer: SocketAddr) {
         let peers = &mut self.lock().peers;
         if let Some(index) = peers.iter().position(|known| *known == peer) {
             peers[..=index].rotate_right(1);
         }
     }
 
-    /// Asks a host last from now on.
-    fn defer(&self, peer: SocketAddr) {
+    /// Moves a host to the back, so that it is tried last.
+    fn move_to_back(&self, peer: SocketAddr) {
         let peers = &mut self.lock().peers;
         if let Some(index) = peers.iter().position(|known| *known == peer) {
             peers[index..].rotate_left(1);
         }
     }
 
-    /// Takes over the hosts that hold something; seeds stay known.
-    fn learn(&self, holdings: &[Holding]) {
+    /// Adds the hosts that hold a partition. Known hosts and seeds are kept.
+    fn add_members(&self, holdings: &[Holding]) {
         let members = holdings
             .iter()
             .filter_map(|holding| address(&holding.member));
         let mut state = self.lock();
         for member in members {
-            if !self.own.contains(&member) && !state.peers.contains(&member) {
+            if !self.own_addresses.contains(&member) && !state.peers.contains(&member) {
                 state.peers.insert(0, member);
             }
         }
@@ -279,8 +293,8 @@
 }
 
 impl StoreCall {
-    /// Returns the partition that it concerns, or none for the hosts' group.
-    fn place(&self) -> Option<(Topic, u32)> {
+    /// Returns the partition of the call, or `None` for calls about the hosts' group.
+    fn partition(&self) -> Option<(Topic, u32)> {
         match self {
             Self::Append(topic, part, ..)
             | Self::Newest(topic, part, _)
@@ -290,8 +304,8 @@
     }
 }
 
-/// Carries out a call.
-fn perform(store: &dyn Store, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
+/// Executes a call on a store.
+fn execute(store: &dyn Store, call: &StoreCall) -> Result<StoreAnswer, StoreError> {
     match call {
         StoreCall::Append(topic, part, records, writer) => store
             .append(*topic, *part, records, *writer)
@@ -310,9 +324,9 @@
     }
 }
 
-fn unexpected<T>(answer: &StoreAnswer) -> Result<T, StoreError> {
+fn unexpected_answer<T>(answer: &StoreAnswer) -> Result<T, StoreError> {
     Err(StoreError::Unreadable {
-        reason: format!("unexpected answer {answer:?}"),
+        reason: format!("unexpected result of a relayed call: {answer:?}"),
     })
 }
 
@@ -331,21 +345,21 @@
     fn read(&self, topic: Topic, part: u32, from: u64, wait: Duration) -> Result<Tail, StoreError> {
         match self.call(&StoreCall::Read(topic, part, from, wait))? {
             StoreAnswer::Tail(tail) => Ok(tail),
-            other => unexpected(&other),
+            other => unexpected_answer(&other),
         }
     }
 
     fn newest(&self, topic: Topic, part: u32, after: Option<&str>) -> Result<Page, StoreError> {
         match self.call(&StoreCall::Newest(topic, part, after.map(str::to_owned)))? {
             StoreAnswer::Page(page) => Ok(page),
-            other => unexpected(&other),
+            other => unexpected_answer(&other),
         }
     }
 
     fn join(&self, member: &str, generation: u64, ttl: Duration) -> Result<Assignment, StoreError> {
         match self.call(&StoreCall::Join(member.to_owned(), generation, ttl))? {
             StoreAnswer::Assignment(assignment) => Ok(assignment),
-            other => unexpected(&other),
+            other => unexpected_answer(&other),
         }
     }
 
@@ -356,10 +370,10 @@
     fn holdings(&self) -> Result<Vec<Holding>, StoreError> {
         match self.call(&StoreCall::Holdings)? {
             StoreAnswer::Holdings(holdings) => {
-                self.learn(&holdings);
+                self.add_members(&holdings);
                 Ok(holdings)
             }
-            other => unexpected(&other),
+            other => unexpected_answer(&other),
         }
     }
 }
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -1,4 +1,5 @@
-//! What hosts tell each other of their runs, so that none fills a target that another has filled.
+//! Datagrams in which hosts report their runs and the start of loads to each other, so that no host
+//! overloads a target that others already use.
 
 use std::{
     collections::HashMap,
@@ -13,95 +14,99 @@
 
 use super::Shared;
 
-/// Time between two reports while nothing has changed much: a fifth of the age at which receivers
-/// forget them, since datagrams get lost.
-const PERIOD: Millis = Millis(100);
-/// Time between two reports at least, however much has changed.
-const PERIOD_LEAST: Millis = Millis(15);
-/// Largest datagram: fits a network packet.
-const DATAGRAM_BYTES: usize = 1_400;
-/// Pause after a failed receive.
-const RECEIVE_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
+/// Interval between reports while nothing changes. It is a fifth of the age at which receivers
+/// discard a report, because datagrams may be lost.
+const REPORT_INTERVAL: Millis = Millis(100);
+/// Minimum interval between reports, even if runs have changed.
+const MIN_REPORT_INTERVAL: Millis = Millis(15);
+/// Maximum size of a datagram; it fits into one network packet.
+const MAX_DATAGRAM_BYTES: usize = 1_400;
+/// Delay after a failed receive.
+const RECEIVE_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// What hosts tell each other.
+/// A datagram between hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Notice {
     /// A target has accepted an order to load a version.
     Load(LoadNotice),
-    /// Runs of a host.
+    /// Current runs of a host.
     Runs(RunReport),
 }
 
-/// A load that a target has begun.
+/// Notice that a target has started to load a version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadNotice {
-    /// The target.
+    /// Target that loads the version.
     pub target: TargetName,
-    /// The model.
+    /// Model that is loaded.
     pub model: ModelName,
-    /// The version.
+    /// Version of the model's weights.
     pub version: u64,
 }
 
-/// Runs of one host.
+/// Runs of one host, with the partitions and versions it knows of.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RunReport {
-    /// Tells a host's starts apart.
+    /// Incarnation of the sending host.
     pub sender: u32,
-    /// Grows with each report.
+    /// Sequence number, which increases with each report of an incarnation.
     pub number: u64,
-    /// Runs by target.
+    /// Number of runs on each target.
     pub running: Vec<(TargetName, u32)>,
-    /// Owned partitions with their epochs: an earlier owner that hasn't heard yet stops its runs.
+    /// Owned partitions with their epochs. An earlier owner that hasn't noticed its loss yet stops
+    /// its runs on receipt.
     pub owned: Vec<(u32, u64)>,
-    /// Newest version known of each model: the store may tell some hosts later than others.
+    /// Newest known version of each model, because records of the store reach some hosts later than
+    /// others.
     pub named: Vec<(ModelName, u64)>,
 }
 
-/// Sends and receives reports.
+/// Sends and receives reports over UDP.
 #[derive(Debug)]
 pub struct Reports {
+    /// `None` if the address couldn't be bound.
     socket: Option<UdpSocket>,
-    sent: Mutex<Sent>,
+    last: Mutex<LastReport>,
 }
 
 #[derive(Debug, Default)]
-struct Sent {
-    at: Millis,
+struct LastReport {
+    sent_at: Millis,
     number: u64,
     report: RunReport,
 }
 
 impl Reports {
-    /// Opens the socket at the address for messages between hosts.
-    pub fn open(shared_peer: std::net::SocketAddr) -> Self {
-        let socket = match UdpSocket::bind(shared_peer) {
+    /// Binds the UDP socket to this host's peer address. If that fails, no reports are sent or
+    /// received.
+    pub fn open(peer_address: std::net::SocketAddr) -> Self {
+        let socket = match UdpSocket::bind(peer_address) {
             Ok(socket) => Some(socket),
             Err(error) => {
-                log::warn!(error:%, address:% = shared_peer; "no reports between hosts");
+                log::warn!(error:%, address:% = peer_address; "cannot bind the UDP socket; reports between hosts are disabled");
                 None
             }
         };
         Self {
             socket,
-            sent: Mutex::default(),
+            last: Mutex::default(),
         }
     }
 
-    /// Tells the other hosts of the runs of this one, if that is due.
+    /// Reports the runs of this host to the others if a report is due.
     pub fn send(&self, shared: &Shared, sender: u32, running: HashMap<TargetName, u32>) {
         let Some(socket) = &self.socket else {
             return;
         };
         let now = shared.clock.now();
-        let mut sent = self.sent.lock().unwrap_or_else(PoisonError::into_inner);
-        let age = now - sent.at;
-        if age < PERIOD_LEAST {
+        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
+        let age = now - last.sent_at;
+        if age < MIN_REPORT_INTERVAL {
             return;
         }
         let mut report = RunReport {
             sender,
-            number: sent.number,
+            number: last.number,
             running: running.into_iter().collect(),
             owned: shared.owned_batches.owned(),
             named: shared.newest_versions().into_iter().collect(),
@@ -109,22 +114,22 @@
         report.running.sort();
         report.named.sort();
         let idle = report.running.is_empty();
-        let unchanged = report == sent.report;
-        if unchanged && (idle || age < PERIOD) {
+        let unchanged = report == last.report;
+        if unchanged && (idle || age < REPORT_INTERVAL) {
             return;
         }
-        sent.at = now;
-        sent.number += 1;
-        sent.report = RunReport {
-            number: sent.number,
+        last.sent_at = now;
+        last.number += 1;
+        last.report = RunReport {
+            number: last.number,
             ..report.clone()
         };
-        drop(sent);
+        drop(last);
         broadcast(shared, socket, &Notice::Runs(report));
     }
 
-    /// Tells the other hosts of a load, so that they neither send to the target meanwhile nor wait
-    /// for its entry afterwards.
+    /// Notifies the other hosts of a load, so that they send nothing to the target meanwhile and
+    /// don't have to wait for its new entry afterwards.
     pub fn send_load(&self, shared: &Shared, load: LoadNotice) {
         if let Some(socket) = &self.socket {
             broadcast(shared, socket, &Notice::Load(load));
@@ -136,14 +141,14 @@
         let Some(socket) = &self.socket else {
             return;
         };
-        let mut bytes = [0; 2 * DATAGRAM_BYTES];
+        let mut bytes = [0; 2 * MAX_DATAGRAM_BYTES];
         loop {
             let length = match socket.recv(&mut bytes) {
                 Ok(length) => length,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) => {
-                    log::debug!(error:%; "receive of a report failed");
-                    thread::sleep(RECEIVE_PAUSE);
+                    log::debug!(error:%; "receiving a report failed");
+                    thread::sleep(RECEIVE_RETRY_DELAY);
                     continue;
                 }
             };
@@ -167,7 +172,7 @@
                     log::info!(target_name:% = target, model:%, version; "load begins");
                     shared.fleet().begin_load(target, model, *version, now);
                 }
-                Err(error) => log::warn!(error:%, length; "report can't be read"),
+                Err(error) => log::warn!(error:%, length; "invalid report"),
             }
         }
     }
@@ -176,19 +181,19 @@
 /// Sends a notice to the other hosts that hold a partition.
 fn broadcast(shared: &Shared, socket: &UdpSocket, notice: &Notice) {
     let bytes = match postcard::to_stdvec(notice) {
-        Ok(bytes) if bytes.len() <= DATAGRAM_BYTES => bytes,
+        Ok(bytes) if bytes.len() <= MAX_DATAGRAM_BYTES => bytes,
         Ok(bytes) => {
-            log::warn!(bytes = bytes.len(); "report between hosts is too large");
+            log::warn!(bytes = bytes.len(); "report exceeds the maximum datagram size");
             return;
         }
         Err(error) => {
-            log::error!(error:%; "report can't be encoded");
+            log::error!(error:%; "cannot encode a report");
             return;
         }
     };
     for address in shared.peers.holders(shared) {
         if let Err(error) = socket.send_to(&bytes, address) {
-            log::debug!(error:%, peer:% = address; "report not sent");
+            log::debug!(error:%, peer:% = address; "sending a report failed");
         }
     }
 }
--- a/crates/godwitspool-host/src/process/shared.rs
+++ b/crates/godwitspool-host/src/process/shared.rs
@@ -12,7 +12,7 @@
 use godwitspool_types::{Millis, ModelName};
 use rustix::time::{ClockId, clock_gettime};
 
-use super::{Relay, UsageBook, peers::Peers, relay::RelayMetrics, reports::Reports};
+use super::{Relay, UsageCounts, peers::Peers, relay::RelayMetrics, reports::Reports};
 use crate::{
     Settings,
     batch::Book,
@@ -22,14 +22,14 @@
     version::{Configuration, Fleet, Mirror},
 };
 
-/// The process's adapters.
+/// Implementations of the interfaces to the platform.
 #[derive(Clone)]
 pub struct Adapters {
-    /// What the platform's messages mean.
+    /// Translation of the platform's messages.
     pub dialect: Arc<dyn Dialect>,
-    /// The platform's calls of one host at a time.
+    /// Calls to the platform that one host at a time makes.
     pub duties: Arc<dyn Duties>,
-    /// The platform's store.
+    /// Store of the platform, without relaying.
     pub store: Arc<dyn Store>,
 }
 
@@ -39,53 +39,54 @@
     }
 }
 
-/// What the process's threads share.
+/// State shared by the threads of the process.
 #[derive(Debug)]
 pub struct Shared {
-    /// Settings.
+    /// Settings given at the start.
     pub settings: Settings,
-    /// Steady clock.
+    /// Monotonic clock, which starts with the process.
     pub clock: Clock,
-    /// What the platform's messages mean.
+    /// Translation of the platform's messages.
     pub dialect: Arc<dyn Dialect>,
-    /// The platform's calls of one host at a time.
+    /// Calls to the platform that one host at a time makes.
     pub duties: Arc<dyn Duties>,
-    /// The platform's store, directly or through another host.
+    /// Store of the platform, called directly or through another host.
     pub store: Arc<Relay>,
-    /// Idle connections to targets and hosts.
+    /// Idle connections to targets and other hosts.
     pub pool: Arc<Pool>,
     /// Batches of the owned partitions.
     pub owned_batches: Arc<Book>,
-    /// Requests counted for usage.
-    pub usage: UsageBook,
-    /// Other hosts.
+    /// Counts of requests for usage reports.
+    pub usage: UsageCounts,
+    /// Other hosts and the partitions they hold.
     pub peers: Peers,
-    /// Reports of runs between hosts.
+    /// Reports of runs, sent to and received from other hosts.
     pub reports: Reports,
-    /// Tells this start of the host from others.
+    /// Random number that distinguishes this start of the process from others of the same host.
     pub incarnation: u32,
-    /// Name of this start of the host in the hosts' group: where it is reached, and a random part.
+    /// Member name in the hosts' group, unique for each start: peer address and incarnation.
     pub member: String,
-    /// Metrics.
+    /// Registry of the process's metrics.
     pub metrics: Metrics,
-    /// Requests by how they ended.
+    /// Number of requests by outcome.
     pub answers: Reasons,
-    /// Times of requests.
+    /// Durations of requests in seconds.
     pub answer_seconds: Histogram,
-    /// Runs of items by how they ended.
+    /// Number of runs of batch items by outcome.
     pub runs: Reasons,
-    /// Times of completed runs.
+    /// Durations of completed runs in seconds.
     pub run_seconds: Histogram,
-    /// Orders to targets by what came of them.
+    /// Number of load orders to targets by outcome.
     pub orders: Reasons,
-    /// Copies of the operators' and the targets' records.
+    /// Local copies of the operators' records and of the targets' entries, in this order.
     pub mirrors: Mutex<[Mirror; 2]>,
     configuration: RwLock<Option<Arc<Configuration>>>,
     fleet: Mutex<Fleet>,
-    named: Mutex<HashMap<ModelName, u64>>,
-    /// Signals that named versions or targets have changed.
-    pub news: Condvar,
-    news_count: Mutex<u64>,
+    versions: Mutex<HashMap<ModelName, u64>>,
+    /// Notified when versions or targets have changed, or when the process drains.
+    pub changed: Condvar,
+    /// Number of changes so far.
+    change_count: Mutex<u64>,
     draining: AtomicBool,
 }
 
@@ -108,11 +109,11 @@
 }
 
 impl Shared {
-    /// Creates the state of a process that knows nothing yet.
+    /// Creates the state of a process that has read nothing from the store yet.
     ///
     /// # Errors
     ///
-    /// When no pipe can be opened.
+    /// When no pipe can be created.
     pub fn new(settings: Settings, adapters: Adapters) -> io::Result<Self> {
         let metrics = Metrics::default();
         let answers = metrics.reasons("answers", "Requests by how they ended");
@@ -122,7 +123,7 @@
         let orders = metrics.reasons("orders", "Orders to targets by what came of them");
         let calls = metrics.reasons("store_calls", "Calls to the store by way and outcome");
         let call_seconds = metrics.seconds("store_seconds", "Times of calls to the store");
-        let own = [Some(settings.peer), settings.seed]
+        let own_addresses = [Some(settings.peer), settings.seed]
             .into_iter()
             .flatten()
             .collect();
@@ -146,21 +147,21 @@
             run_seconds,
             orders,
             mirrors: Mutex::default(),
-            named: Mutex::default(),
-            news: Condvar::new(),
-            news_count: Mutex::default(),
+            versions: Mutex::default(),
+            changed: Condvar::new(),
+            change_count: Mutex::default(),
             peers: Peers::default(),
             pool: Arc::default(),
             store: Arc::new(Relay::new(
                 adapters.store,
                 &settings.seeds,
-                own,
+                own_addresses,
                 RelayMetrics {
                     calls,
                     seconds: call_seconds,
                 },
             )),
-            usage: UsageBook::new(settings.usage_window),
+            usage: UsageCounts::new(settings.usage_window),
             settings,
         })
     }
@@ -173,8 +174,9 @@
             .clone()
     }
 
-    /// Puts a configuration into force unless a newer one is.
-    pub fn configure(&self, configuration: Configuration) -> bool {
+    /// Applies a configuration. Returns false and ignores it if the current one has the same or a
+    /// higher version.
+    pub fn apply_configuration(&self, configuration: Configuration) -> bool {
         let current = self.configuration.write();
         let mut current = current.unwrap_or_else(PoisonError::into_inner);
         if current
@@ -187,70 +189,72 @@
         true
     }
 
-    /// Gives access to the targets.
+    /// Locks and returns the known targets.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the newest version of each model.
+    /// Returns the newest known version of each model.
     pub fn newest_versions(&self) -> HashMap<ModelName, u64> {
-        self.named
+        self.versions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// Takes over a model's newest version; older ones are left out.
-    pub fn name_version(&self, model: &ModelName, version: u64) -> bool {
-        let mut named = self.named.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Records a version of a model if it is newer than the known one. Returns whether it was.
+    pub fn update_version(&self, model: &ModelName, version: u64) -> bool {
+        let mut named = self.versions.lock().unwrap_or_else(PoisonError::into_inner);
         let known = named.entry(model.clone()).or_default();
         let newer = version > *known;
         *known = version.max(*known);
         newer
     }
 
-    /// Records a version of which a batch or another host tells, before the operators' record of it
-    /// has arrived.
+    /// Records a version learned from a batch or another host, possibly before the operators'
+    /// record of it has arrived.
     pub fn learn_version(&self, model: &ModelName, version: u64, source: &str) {
-        if self.name_version(model, version) {
+        if self.update_version(model, version) {
             log::info!(model:%, version, source; "version heard of");
-            self.announce();
+            self.notify_change();
         }
     }
 
-    /// Tells the duties that named versions or targets have changed.
-    pub fn announce(&self) {
+    /// Wakes the duties and the batch runner after a change of versions or targets.
+    pub fn notify_change(&self) {
         *self
-            .news_count
+            .change_count
             .lock()
             .unwrap_or_else(PoisonError::into_inner) += 1;
-        self.news.notify_all();
+        self.changed.notify_all();
         self.owned_batches.waker.wake();
     }
 
-    /// Waits for news, up to a time.
-    pub fn await_news(&self, seen: &mut u64, timeout: Duration) {
+    /// Waits until there was a change after the one numbered `seen`, or the timeout expires, and
+    /// updates `seen`.
+    pub fn wait_for_change(&self, seen: &mut u64, timeout: Duration) {
         let count = self
-            .news_count
+            .change_count
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let unchanged = |count: &mut u64| *count == *seen;
-        let waited = self.news.wait_timeout_while(count, timeout, unchanged);
+        let waited = self.changed.wait_timeout_while(count, timeout, unchanged);
         *seen = *waited.unwrap_or_else(PoisonError::into_inner).0;
     }
 
-    /// Tells whether the process is about to end.
+    /// Returns whether the process is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Lets the process report that it isn't ready, and give up what it owns.
+    /// Starts draining: the process reports that it isn't ready and hands over what it owns.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
-        self.announce();
+        self.notify_change();
     }
 
-    /// Tells whether callers can be served: a configuration and targets are known.
+    /// Returns whether callers can be served: both mirrors have been read, a configuration is
+    /// known, and the process isn't draining.
     pub fn is_ready(&self) -> bool {
         let mirrors = self.mirrors.lock().unwrap_or_else(PoisonError::into_inner);
         let known = mirrors.iter().all(|mirror| mirror.confirmed.is_some());
@@ -259,13 +263,14 @@
     }
 }
 
-/// Returns the time of day in milliseconds from 1970.
+/// Returns the Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     let age = SystemTime::now().duration_since(UNIX_EPOCH);
     age.unwrap_or_default().as_millis() as u64
 }
 
-/// Returns the time since the machine's start, pauses of the machine included: what leases count.
+/// Returns the time since boot, including the time the machine was suspended. Leases are measured
+/// by this clock.
 pub fn lease_clock() -> Millis {
     let time = clock_gettime(ClockId::Boottime);
     Millis(time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000)
--- a/crates/godwitspool-host/src/process/tails.rs
+++ b/crates/godwitspool-host/src/process/tails.rs
@@ -14,64 +14,67 @@
     version::{Mirror, MirrorChange},
 };
 
-/// Least wait in one read, whatever the bound on the age of the configuration.
-const READ_WAIT_LEAST: Duration = Duration::from_millis(200);
-/// Part of the bound on the age of the configuration that is kept for applying it.
-const APPLY_SHARE: f64 = 0.15;
-/// Pause between reads of the targets' entries, which change several times a second: bounds the
-/// calls, and stays well below the time after which a leaving target must not be used.
-const TARGETS_PAUSE: Duration = Duration::from_millis(400);
-/// Pause after a read that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Entries that vanish within this time after a failed read may have lapsed.
-const AWAY_MEMORY: Millis = Millis(4_000);
+/// Minimum time that one read waits for new records, however short the apply timeout is.
+const MIN_READ_WAIT: Duration = Duration::from_millis(200);
+/// Fraction of the apply timeout reserved for applying a configuration.
+const APPLY_RESERVE_FRACTION: f64 = 0.15;
+/// Interval between reads of the targets' entries, which change several times per second. It limits
+/// the number of calls, and stays well below the time after which a leaving target must not be
+/// used.
+const TARGETS_READ_INTERVAL: Duration = Duration::from_millis(400);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Entries removed within this time after a failed read may have expired only because the store was
+/// unreachable.
+const LAPSE_WINDOW: Millis = Millis(4_000);
 
-/// Returns how long one read waits for news, so that a configuration is in force in time even if
-/// the answer that carried it was lost and the read is repeated after its bound.
+/// Returns how long one read waits for new records. The wait is short enough that a configuration
+/// is in force within the apply timeout even if the response that carried it is lost and the read
+/// is repeated after its own timeout.
 ///
 /// ```
 /// use std::time::Duration;
 ///
-/// use godwitspool_host::{process::news_wait, store::READ_SLACK};
+/// use godwitspool_host::{process::read_wait, store::READ_SLACK};
 ///
-/// let apply = Duration::from_secs(2);
-/// assert!(news_wait(apply) + READ_SLACK < apply);
+/// let apply_timeout = Duration::from_secs(2);
+/// assert!(read_wait(apply_timeout) + READ_SLACK < apply_timeout);
 /// ```
-pub fn news_wait(apply: Duration) -> Duration {
-    let spent = READ_SLACK + RETRY_PAUSE + apply.mul_f64(APPLY_SHARE);
-    apply.saturating_sub(spent).max(READ_WAIT_LEAST)
+pub fn read_wait(apply_timeout: Duration) -> Duration {
+    let spent = READ_SLACK + RETRY_DELAY + apply_timeout.mul_f64(APPLY_RESERVE_FRACTION);
+    apply_timeout.saturating_sub(spent).max(MIN_READ_WAIT)
 }
 
-/// Follows the operators' records and the targets' entries, for as long as the process lives.
+/// Follows the operators' records or the targets' entries until the process exits.
 pub fn follow(shared: &Arc<Shared>, topic: Topic) {
-    let mut failed: Option<Millis> = None;
-    let mut away = false;
-    let wait = news_wait(shared.settings.apply_timeout);
+    let mut last_failure: Option<Millis> = None;
+    let mut unreachable = false;
+    let wait = read_wait(shared.settings.apply_timeout);
     loop {
         let next = mirrors(shared)[index(topic)].next();
         let fetched = Mirror::fetch(shared.store.as_ref(), topic, next, wait);
         let now = shared.clock.now();
         match fetched {
             Ok(fetched) => {
-                if away {
+                if unreachable {
                     log::info!(topic:?; "store answers again");
-                    away = false;
+                    unreachable = false;
                 }
                 let changes = mirrors(shared)[index(topic)].take(fetched, now);
-                let lapsing = failed.is_some_and(|failed| now - failed < AWAY_MEMORY);
+                let lapsing = last_failure.is_some_and(|failed| now - failed < LAPSE_WINDOW);
                 apply(shared, topic, changes, lapsing);
                 if topic == Topic::Targets {
                     expire(shared, now);
-                    thread::sleep(TARGETS_PAUSE);
+                    thread::sleep(TARGETS_READ_INTERVAL);
                 }
             }
             Err(error) => {
-                if !away {
-                    log::warn!(topic:?, error:%; "store doesn't answer");
-                    away = true;
+                if !unreachable {
+                    log::warn!(topic:?, error:%; "reading from the store failed");
+                    unreachable = true;
                 }
-                failed = Some(now);
-                thread::sleep(RETRY_PAUSE);
+                last_failure = Some(now);
+                thread::sleep(RETRY_DELAY);
             }
         }
     }
@@ -98,7 +101,7 @@
             _ => apply_operator(shared, &change),
         }
     }
-    shared.announce();
+    shared.notify_change();
 }
 
 fn apply_operator(shared: &Shared, change: &MirrorChange) {
@@ -109,18 +112,18 @@
         Ok(Some(OperatorRecord::Configuration(configuration))) => {
             let (version, routes) = (configuration.version, configuration.routes.len());
             let keys = configuration.keys.len();
-            if shared.configure(*configuration) {
+            if shared.apply_configuration(*configuration) {
                 log::info!(version, routes, keys, offset = change.offset; "configuration in force");
             }
         }
         Ok(Some(OperatorRecord::Version { model, version })) => {
-            if shared.name_version(&model, version) {
+            if shared.update_version(&model, version) {
                 log::info!(model:%, version, offset = change.offset; "version named");
             }
         }
-        Ok(None) => log::debug!(key:% = change.key; "operators' record of another kind"),
+        Ok(None) => log::debug!(key:% = change.key; "operators' record of an unknown kind ignored"),
         Err(reason) => {
-            log::warn!(key:% = change.key, offset = change.offset, reason:%; "operators' record left out");
+            log::warn!(key:% = change.key, offset = change.offset, reason:%; "invalid operators' record ignored");
         }
     }
 }
@@ -137,33 +140,35 @@
         Ok(entry) => {
             let mut fleet = shared.fleet();
             let known = fleet.get(&name);
-            let news = known.is_none_or(|known| known.entry != entry || known.lapsed.is_some());
+            let is_changed =
+                known.is_none_or(|known| known.entry != entry || known.lapsed.is_some());
             let (draining, models) = (entry.draining, sorted(&entry.models));
             let (service, address, born) = (entry.service.clone(), entry.address, entry.born);
-            // An unchanged entry counts too: it may have lapsed and come back.
+            // An unchanged entry is applied too, because it may have lapsed before.
             if fleet.apply(entry) {
-                if !news {
+                if !is_changed {
                     return;
                 }
                 log::info!(target_name:% = name, service:%, address:%, draining, born, models:?; "target's entry");
             } else {
-                log::info!(target_name:% = name, born; "entry of an earlier start left out");
+                log::info!(target_name:% = name, born; "entry of an earlier start of the target ignored");
             }
         }
         Err(reason) => {
-            log::warn!(target_name:% = name, offset = change.offset, reason:%; "target's entry left out");
+            log::warn!(target_name:% = name, offset = change.offset, reason:%; "target's entry is invalid, ignored");
             shared.fleet().remove(&name, now, false);
         }
     }
 }
 
+/// Removes targets whose lapsed entries haven't reappeared in time.
 fn expire(shared: &Shared, now: Millis) {
     for target in shared.fleet().expire(now) {
-        log::info!(target_name:% = target; "target gone, its entry hasn't come back");
+        log::info!(target_name:% = target; "target gone, its entry has not reappeared");
     }
 }
 
-/// Returns versions in the order of their models, so that every host writes the same line.
+/// Returns the versions sorted by model, so that all hosts log identical lines.
 fn sorted(models: &HashMap<ModelName, u64>) -> BTreeMap<ModelName, u64> {
     models
         .iter()
--- a/crates/godwitspool-host/src/process/usage.rs
+++ b/crates/godwitspool-host/src/process/usage.rs
@@ -6,15 +6,15 @@
 
 use godwitspool_types::Workspace;
 
-/// Requests of this host by window and workspace, until the store holds them.
+/// Number of this host's requests by window and workspace, until they are taken for the store.
 #[derive(Debug)]
-pub struct UsageBook {
+pub struct UsageCounts {
     length_ms: u64,
     windows: Mutex<BTreeMap<u64, HashMap<Workspace, u64>>>,
 }
 
-impl UsageBook {
-    /// Creates an empty book of windows of a length.
+impl UsageCounts {
+    /// Creates empty counts for windows of the given length, at least 1 ms.
     pub fn new(length: Duration) -> Self {
         Self {
             length_ms: (length.as_millis() as u64).max(1),
@@ -22,25 +22,25 @@
         }
     }
 
-    /// Returns the window of a time of day.
+    /// Returns the number of the window that contains a Unix time.
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use godwitspool_host::process::UsageBook;
+    /// use godwitspool_host::process::UsageCounts;
     ///
-    /// assert_eq!(UsageBook::new(Duration::from_secs(5)).window(12_000), 2);
+    /// assert_eq!(UsageCounts::new(Duration::from_secs(5)).window(12_000), 2);
     /// ```
     pub fn window(&self, unix_ms: u64) -> u64 {
         unix_ms / self.length_ms
     }
 
-    /// Returns when a window ends, in milliseconds from 1970.
+    /// Returns the Unix time in milliseconds at which a window ends.
     pub fn end_ms(&self, window: u64) -> u64 {
         (window + 1) * self.length_ms
     }
 
-    /// Counts a request that began to run at a time of day.
+    /// Counts a request that started at a Unix time.
     pub fn count(&self, workspace: &Workspace, unix_ms: u64) {
         let window = self.window(unix_ms);
         let mut windows = self.lock();
@@ -48,7 +48,8 @@
         *counts.entry(workspace.clone()).or_default() += 1;
     }
 
-    /// Takes the counts of windows that ended before a time of day; of all with `u64::MAX`.
+    /// Removes and returns the counts of windows that ended at or before a Unix time. `u64::MAX`
+    /// takes all windows.
     pub fn take_ended(&self, unix_ms: u64) -> Vec<(u64, Vec<(Workspace, u64)>)> {
         let mut windows = self.lock();
         let open = windows.split_off(&self.window(unix_ms));
