--- a/crates/godwitspool-host/src/lib.rs
+++ b/crates/godwitspool-host/src/lib.rs
@@ -1,10 +1,10 @@
-//! One process a host, for platforms that give the hosts a store and no disk.
+//! The process that runs on each host, for platforms that provide a store but no disk.
 //!
-//! Callers' requests are forwarded to targets; batches are stored before they are accepted, run by
-//! the one host that owns their partition, and readable at every host. Hosts agree on nothing among
-//! themselves: the store deals partitions and duties, and epochs shut earlier owners out.
+//! Callers' requests are forwarded to targets. Batches are stored before they are accepted, run by
+//! the one host that owns their partition, and can be read from every host. Hosts need no consensus
+//! among themselves: the store assigns partitions and duties, and epochs fence earlier owners.
 //!
-//! The platform's messages are met at three edges: [`store::Store`], [`dialect::Dialect`] and
+//! Three traits connect the process to a platform: [`store::Store`], [`dialect::Dialect`] and
 //! [`dialect::Duties`].
 
 pub mod batch;
--- a/crates/godwitspool-host/src/settings.rs
+++ b/crates/godwitspool-host/src/settings.rs
@@ -2,53 +2,54 @@
 
 use godwitspool_types::{Dc, HostName};
 
-/// What a host process needs to know before it reads anything from the store.
+/// Settings that a host process needs before it reads anything from the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Name of this host.
+    /// Name of this host, as given in logs and as the holder of duties.
     pub host: HostName,
-    /// Data centre of this host.
+    /// Data centre of this host; targets in the same one are preferred.
     pub dc: Dc,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub front: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Where hosts that know no other host find this one, if it serves that.
+    /// Address that other hosts list as a seed, if this host serves one.
     pub seed: Option<SocketAddr>,
-    /// Where other hosts connect.
+    /// Address at which other hosts connect (TCP) and send reports (UDP).
     pub peer: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
-    /// Hosts to ask while the store can't be reached.
+    /// Addresses of hosts through which the store is called while it is unreachable.
     pub seeds: Vec<SocketAddr>,
-    /// Time from SIGTERM to SIGKILL.
+    /// Grace period from SIGTERM to SIGKILL.
     pub grace: Duration,
-    /// How long after its acknowledgement a configuration must be in force.
+    /// Maximum time from the acknowledgement of a configuration until it is in force.
     pub apply_timeout: Duration,
-    /// A duty's former holder acts again no sooner than this after its last act.
+    /// Lease duration of duties: a host that holds the duties again waits this long after its last
+    /// action.
     pub lease: Duration,
-    /// Whether targets and the platform refuse fencing tokens lower than one already seen.
+    /// Whether targets and the platform reject fencing tokens lower than one already seen.
     pub fenced: bool,
     /// Length of a usage window.
     pub usage_window: Duration,
-    /// How long after its end a window may be reported.
+    /// Time after the end of a usage window within which it may be reported.
     pub usage_deadline: Duration,
-    /// How long a batch stays readable after its submission.
+    /// Time after its submission for which a batch stays readable.
     pub batch_ttl: Duration,
-    /// Bounds of the store.
+    /// Limits of the store.
     pub store: StoreBounds,
 }
 
-/// Bounds of the platform's store.
+/// Limits of the platform's store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StoreBounds {
-    /// Partitions of each of the product's topics.
+    /// Number of partitions of each of this project's topics, 8 by default.
     pub parts: u32,
-    /// Bytes of a record.
+    /// Maximum size of a record in bytes, 256 KiB by default.
     pub record_bytes: usize,
-    /// Bytes of the records of one append.
+    /// Maximum total size of the records of one append in bytes, 2 MiB by default.
     pub call_bytes: usize,
-    /// Least time after which a silent member of a group is left out.
+    /// Minimum TTL of a group member without a renewal, 1 s by default.
     pub member_ttl: Duration,
 }
 
