--- a/crates/godwitspool-host/src/process/membership.rs
+++ b/crates/godwitspool-host/src/process/membership.rs
@@ -72,7 +72,8 @@
                     failing = true;
                 }
             }
-            // The store reassigns released partitions at the next renewal, so it follows at once.
+            // The store reassigns released partitions at the next renewal, which therefore follows
+            // at once.
             if !released {
                 thread::sleep(ttl / RENEWALS_PER_TTL);
             }
@@ -81,7 +82,7 @@
         hand_over(self.owners.values());
         match self.shared.store.leave(&self.shared.member) {
             Ok(()) => log::info!("left the hosts' group"),
-            Err(error) => log::warn!(error:%; "leaving the hosts' group failed"),
+            Err(error) => log::warn!(error:%; "leaving the hosts' group not confirmed"),
         }
     }
 
--- a/crates/godwitspool-host/src/process/relay.rs
+++ b/crates/godwitspool-host/src/process/relay.rs
@@ -75,7 +75,7 @@
     /// When the store was last called directly, for each partition that is unreachable there. The
     /// key `None` stands for the hosts' group.
     unreachable: HashMap<Option<(Topic, u32)>, Instant>,
-    /// Other hosts in the order in which they are tried.
+    /// Other hosts in the order in which they are tried. A host that responds moves to the front.
     peers: Vec<SocketAddr>,
 }
 
--- a/crates/godwitspool-host/src/process/tails.rs
+++ b/crates/godwitspool-host/src/process/tails.rs
@@ -121,7 +121,7 @@
                 log::info!(model:%, version, offset = change.offset; "version named");
             }
         }
-        Ok(None) => log::debug!(key:% = change.key; "operators' record of an unknown kind ignored"),
+        Ok(None) => log::debug!(key:% = change.key; "operators' record of another kind ignored"),
         Err(reason) => {
             log::warn!(key:% = change.key, offset = change.offset, reason:%; "invalid operators' record ignored");
         }
