--- a/crates/godwitspool-entry/src/rollout/dispatch.rs
+++ b/crates/godwitspool-entry/src/rollout/dispatch.rs
@@ -12,7 +12,7 @@
     platform::{TargetEntry, TargetState as Platform},
 };
 use godwitspool_request::{TrainingShare, stable_hash};
-use godwitspool_rollout::{Freshness, SampleId, ScoreEvent, ShareRules};
+use godwitspool_rollout::{Freshness, SampleId, ScoreEvent, TrainerDemand};
 use godwitspool_types::{HostName, Millis, ServiceName, TargetName, TrainerName};
 
 use super::{
@@ -202,10 +202,10 @@
             if trainer.queue.is_empty() {
                 trainer.since = now;
             }
-            let rules = ShareRules {
+            let rules = TrainerDemand {
                 share: trainer.rules.share,
                 deadline: Some(trainer.since + Millis(trainer.rules.step_ms)),
-                rest: Millis::ZERO,
+                remaining: Millis::ZERO,
                 waiting: trainer.queue.len() as u32,
             };
             self.shares.set(name.clone(), rules);
--- a/crates/godwitspool-entry/src/rollout/moves.rs
+++ b/crates/godwitspool-entry/src/rollout/moves.rs
@@ -183,13 +183,15 @@
         let trainer = self.trainers.get(&running.id.trainer);
         let rest = trainer.map_or(0.0, |trainer| {
             let most = running.spec.max_tokens;
-            trainer.stragglers.expected_rest(&running.id, tokens, most)
+            trainer
+                .stragglers
+                .expected_remaining(&running.id, tokens, most)
         });
         let pace = self.targets.get(&running.target);
         let pace_ms = pace.map_or(FIRST_PACE_MS, |known| known.pace_ms);
         ReclaimedStream {
             id: running.id.clone(),
-            rest_ms: Millis((rest * pace_ms) as u64),
+            remaining_ms: Millis((rest * pace_ms) as u64),
             tokens,
         }
     }
@@ -202,13 +204,13 @@
     }
     Some(Attempt {
         id: running.id.clone(),
-        heard: progress.heard,
+        last_token_at: progress.heard,
         max_tokens: running.spec.max_tokens,
-        prompt: (running.spec.bytes() / 4) as u32,
-        started: running.started,
+        prompt_tokens: (running.spec.bytes() / 4) as u32,
+        started_at: running.started,
         target: running.target.clone(),
         tokens: progress.partial.tokens.len() as u32,
-        resumed: progress.resumed,
+        resumed_tokens: progress.resumed,
         hedge: progress.hedge.clone(),
     })
 }
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -16,8 +16,8 @@
 use godwitspool_process::Clock;
 use godwitspool_request::{Caller, TrainingShare};
 use godwitspool_rollout::{
-    Answer, HandedOver, Refusal, Request, Sample, SampleId, Scoring, Shares, StepAction, StepEvent,
-    StepNumber, StepRules, StragglerRules, Stragglers, TrainerSteps,
+    AcknowledgedBatch, Answer, Refusal, Request, Sample, SampleId, Scoring, Shares, StepAction,
+    StepEvent, StepNumber, StepRules, StragglerRules, Stragglers, TrainerSteps,
 };
 use godwitspool_types::{
     HostName, Millis, RequestId, ServiceName, TargetName, TrainerName, WeightVersion,
@@ -242,7 +242,7 @@
                 since: now,
                 steps: TrainerSteps::new(name.clone(), host, StepRules::default()),
                 stragglers: Stragglers::new(StragglerRules {
-                    silent_ms: SILENT_MS,
+                    idle_timeout_ms: SILENT_MS,
                     ..StragglerRules::default()
                 }),
             }
@@ -302,7 +302,7 @@
     }
 
     /// Counts a batch for the trainer's workspace; stewards hold the count soon after.
-    fn count(&self, shared: &Shared, trainer: &TrainerName, handed: HandedOver) {
+    fn count(&self, shared: &Shared, trainer: &TrainerName, handed: AcknowledgedBatch) {
         let Some(held) = self.trainers.get(trainer) else {
             return;
         };
--- a/crates/godwitspool-measure/src/rollout/samples.rs
+++ b/crates/godwitspool-measure/src/rollout/samples.rs
@@ -31,7 +31,7 @@
 
 fn row(size: u32) -> [String; 8] {
     let rules = StepRules {
-        bound_samples: u32::MAX,
+        max_open_samples: u32::MAX,
         ..StepRules::default()
     };
     let mut lab = Lab::new(rules);
--- a/crates/godwitspool-measure/src/rollout/shares.rs
+++ b/crates/godwitspool-measure/src/rollout/shares.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use godwitspool_rollout::{ShareRules, Shares};
+use godwitspool_rollout::{Shares, TrainerDemand};
 use godwitspool_types::{Millis, TrainerName};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -56,10 +56,10 @@
             }
         }
         for (at, wants) in active.iter().enumerate() {
-            let rules = ShareRules {
+            let rules = TrainerDemand {
                 share: at as u32 + 1,
                 waiting: if *wants { 1_000 } else { 0 },
-                ..ShareRules::default()
+                ..TrainerDemand::default()
             };
             shares.set(trainer(at as u32), rules);
         }
--- a/crates/godwitspool-measure/src/rollout/staleness.rs
+++ b/crates/godwitspool-measure/src/rollout/staleness.rs
@@ -70,7 +70,9 @@
             }
         };
         for sample in &page.samples {
-            if let Freshness::Fresh { age } = lab.steps.image().order().judge(sample, u32::MAX) {
+            if let Freshness::Fresh { age } =
+                lab.steps.image().order().sample_freshness(sample, u32::MAX)
+            {
                 ages[(age as usize).min(OLDEST - 1)] += 1;
             }
         }
--- a/crates/godwitspool-measure/src/rollout/step_run.rs
+++ b/crates/godwitspool-measure/src/rollout/step_run.rs
@@ -262,7 +262,7 @@
         let slots = self.fleet.slots * self.paces.len() as u32;
         let waiting = self.queue.iter().map(|&need| {
             self.stragglers
-                .expected_rest(&id_of(&self.needs[need]), 0, MAX_TOKENS)
+                .expected_remaining(&id_of(&self.needs[need]), 0, MAX_TOKENS)
         });
         let queue_ms = waiting.sum::<f64>() * STEP_MS / f64::from(slots);
         let now = Millis(self.now);
@@ -340,13 +340,13 @@
     fn attempt(&self, stream: &Stream) -> Attempt {
         Attempt {
             id: id_of(&self.needs[stream.need]),
-            heard: Millis(self.now),
+            last_token_at: Millis(self.now),
             max_tokens: MAX_TOKENS,
-            prompt: PROMPT_TOKENS,
-            started: Millis(stream.started),
+            prompt_tokens: PROMPT_TOKENS,
+            started_at: Millis(stream.started),
             target: name(stream.target),
             tokens: stream.made as u32,
-            resumed: stream.resumed as u32,
+            resumed_tokens: stream.resumed as u32,
             hedge: None,
         }
     }
--- a/crates/godwitspool-measure/src/slopes/rollout.rs
+++ b/crates/godwitspool-measure/src/slopes/rollout.rs
@@ -36,7 +36,7 @@
 impl Home {
     fn fill(samples: u32) -> Self {
         let rules = StepRules {
-            bound_samples: u32::MAX,
+            max_open_samples: u32::MAX,
             ..StepRules::default()
         };
         let mut lab = Lab::new(rules);
--- a/crates/godwitspool-rollout/src/lengths.rs
+++ b/crates/godwitspool-rollout/src/lengths.rs
@@ -13,8 +13,8 @@
 /// let mut lengths = Lengths::default();
 /// (0..95).for_each(|_| lengths.add(100));
 /// (0..5).for_each(|_| lengths.add(1_000));
-/// assert!(lengths.expected_rest(0) < 150.0);
-/// assert!(lengths.expected_rest(200) > 700.0);
+/// assert!(lengths.expected_remaining(0) < 150.0);
+/// assert!(lengths.expected_remaining(200) > 700.0);
 /// ```
 #[derive(Clone, Debug)]
 pub struct Lengths {
@@ -61,7 +61,7 @@
 
     /// Returns how many more tokens to expect from an answer that has `tokens` already: the mean
     /// rest of the answers that grew longer. Beyond the longest one the rest is as long again.
-    pub fn expected_rest(&self, tokens: u64) -> f64 {
+    pub fn expected_remaining(&self, tokens: u64) -> f64 {
         let recorded = self.histogram.iter().flat_map(Histogram::iter_recorded);
         let longer = recorded.filter(|bucket| bucket.value_iterated_to() > tokens);
         let (mut count, mut rest) = (0.0, 0.0);
--- a/crates/godwitspool-rollout/src/lib.rs
+++ b/crates/godwitspool-rollout/src/lib.rs
@@ -42,10 +42,10 @@
     GroupSpec, Message, Sample, SampleFinish, SampleId, SampleIdError, Score, Span, StepNumber,
 };
 pub use scoring::{ScoreAction, ScoreEvent, Scoring, ScoringRules};
-pub use share::{ShareRules, Shares};
+pub use share::{Shares, TrainerDemand};
 pub use step::{
-    Answer, Epoch, HandedOver, Image, PeerMessage, Progress, Record, Refusal, Request, StepAction,
-    StepCounts, StepEvent, StepRules, TrainerSteps,
+    AcknowledgedBatch, Answer, Epoch, Image, PeerMessage, Progress, Record, Refusal, Request,
+    StepAction, StepCounts, StepEvent, StepRules, TrainerSteps,
 };
 pub use straggler::{Attempt, Remedy, StragglerRules, Stragglers, TargetPace};
 pub use swap::{SwapAction, SwapEvent, SwapFailure, SwapPlan, SwapRules, SwapState};
--- a/crates/godwitspool-rollout/src/reclaim.rs
+++ b/crates/godwitspool-rollout/src/reclaim.rs
@@ -10,7 +10,7 @@
     /// Sample.
     pub id: SampleId,
     /// Time until it is expected to be whole.
-    pub rest_ms: Millis,
+    pub remaining_ms: Millis,
     /// Tokens of prompt and answer so far.
     pub tokens: u32,
 }
@@ -21,11 +21,11 @@
     /// Time of one export.
     pub export_ms: Millis,
     /// Tokens from which an export saves more than reading the tokens again.
-    pub least_tokens: u32,
+    pub min_export_tokens: u32,
     /// Time until the targets are gone.
     pub notice_ms: Millis,
     /// Exports at once.
-    pub parallel: u32,
+    pub max_parallel: u32,
     /// Streams that other targets can take now.
     pub room: u32,
     /// Part of the notice that is left unused.
@@ -36,9 +36,9 @@
     fn default() -> Self {
         Self {
             export_ms: Millis(100),
-            least_tokens: 256,
+            min_export_tokens: 256,
             notice_ms: Millis(5_000),
-            parallel: 8,
+            max_parallel: 8,
             room: 0,
             margin_ms: Millis(500),
         }
@@ -72,7 +72,7 @@
 ///
 /// let stream = ReclaimedStream {
 ///     id: SampleId::default(),
-///     rest_ms: Millis(60_000),
+///     remaining_ms: Millis(60_000),
 ///     tokens: 900,
 /// };
 /// let budget = ReclaimBudget { room: 1, ..ReclaimBudget::default() };
@@ -81,16 +81,16 @@
 pub fn plan_reclaim(mut streams: Vec<ReclaimedStream>, budget: &ReclaimBudget) -> ReclaimPlan {
     let usable = budget.notice_ms - budget.margin_ms;
     let rounds = usable.0 / budget.export_ms.0.max(1);
-    let mut exports = rounds * u64::from(budget.parallel);
+    let mut exports = rounds * u64::from(budget.max_parallel);
     let mut room = budget.room;
     streams.sort_by(|a, b| b.tokens.cmp(&a.tokens).then_with(|| a.id.cmp(&b.id)));
     let mut plan = ReclaimPlan::new();
     for stream in streams {
-        let chosen = if stream.rest_ms < usable {
+        let chosen = if stream.remaining_ms < usable {
             ReclaimMove::Finish
         } else if room == 0 {
             ReclaimMove::Park
-        } else if exports > 0 && stream.tokens >= budget.least_tokens {
+        } else if exports > 0 && stream.tokens >= budget.min_export_tokens {
             exports -= 1;
             room -= 1;
             ReclaimMove::Export
--- a/crates/godwitspool-rollout/src/scoring.rs
+++ b/crates/godwitspool-rollout/src/scoring.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScoringRules {
     /// Calls of one score before it is reported as failed.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Wait before the second call; it doubles with each further one.
     pub backoff_ms: Millis,
     /// Calls at once.
@@ -22,7 +22,7 @@
 impl Default for ScoringRules {
     fn default() -> Self {
         Self {
-            attempts: 4,
+            max_attempts: 4,
             backoff_ms: Millis(200),
             concurrency: 32,
             timeout_ms: Millis(10_000),
@@ -128,7 +128,7 @@
         if !matches!(call.state, CallState::Called(_)) {
             return;
         }
-        if call.attempts >= self.rules.attempts {
+        if call.attempts >= self.rules.max_attempts {
             self.calls.remove(&key);
             actions.push(ScoreAction::Settle(key, Score::Failed(reason)));
             return;
--- a/crates/godwitspool-rollout/src/share.rs
+++ b/crates/godwitspool-rollout/src/share.rs
@@ -6,13 +6,13 @@
 
 /// What a trainer is entitled to, and what it wants now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ShareRules {
+pub struct TrainerDemand {
     /// Weight relative to other trainers.
     pub share: u32,
     /// When its step is due; none while no step is open.
     pub deadline: Option<Millis>,
     /// Time that the rest of its step takes at its present rate.
-    pub rest: Millis,
+    pub remaining: Millis,
     /// Samples that wait to start.
     pub waiting: u32,
 }
@@ -24,13 +24,13 @@
 /// about to miss its deadline runs ahead of its share by a bounded amount, which it pays back.
 ///
 /// ```
-/// use godwitspool_rollout::{ShareRules, Shares};
+/// use godwitspool_rollout::{TrainerDemand, Shares};
 /// use godwitspool_types::Millis;
 ///
 /// let mut shares = Shares::default();
-/// let rules = ShareRules { share: 1, waiting: 2, ..ShareRules::default() };
+/// let rules = TrainerDemand { share: 1, waiting: 2, ..TrainerDemand::default() };
 /// shares.set("a".into(), rules.clone());
-/// shares.set("b".into(), ShareRules { share: 2, ..rules });
+/// shares.set("b".into(), TrainerDemand { share: 2, ..rules });
 /// let first = shares.next(Millis(0), 1.0, |_| true);
 /// assert!(first.is_some());
 /// ```
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Default)]
 struct Account {
-    rules: ShareRules,
+    rules: TrainerDemand,
     spent: f64,
     time: f64,
 }
@@ -52,7 +52,7 @@
 
 impl Shares {
     /// Sets what a trainer is entitled to and wants.
-    pub fn set(&mut self, trainer: TrainerName, rules: ShareRules) {
+    pub fn set(&mut self, trainer: TrainerName, rules: TrainerDemand) {
         let account = self.trainers.entry(trainer).or_default();
         if account.rules.waiting == 0 {
             account.time = account.time.max(self.virtual_time);
@@ -115,10 +115,10 @@
         let Some(deadline) = self.rules.deadline else {
             return 0.0;
         };
-        let late = (now + self.rules.rest) - deadline;
+        let late = (now + self.rules.remaining) - deadline;
         if late == Millis::ZERO {
             return 0.0;
         }
-        (late.0 as f64 / self.rules.rest.0.max(1) as f64).min(1.0)
+        (late.0 as f64 / self.rules.remaining.0.max(1) as f64).min(1.0)
     }
 }
--- a/crates/godwitspool-rollout/src/step/event.rs
+++ b/crates/godwitspool-rollout/src/step/event.rs
@@ -71,7 +71,7 @@
         id: SampleId,
     },
     /// Counts a batch that was handed over, once for each step.
-    Count(HandedOver),
+    Count(AcknowledgedBatch),
     /// Sends a message to another host.
     Send {
         /// Receiver.
@@ -92,7 +92,7 @@
 
 /// A batch that a trainer has acknowledged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HandedOver {
+pub struct AcknowledgedBatch {
     /// Step.
     pub step: StepNumber,
     /// Tokens of all its samples.
--- a/crates/godwitspool-rollout/src/step/home.rs
+++ b/crates/godwitspool-rollout/src/step/home.rs
@@ -5,7 +5,7 @@
 use godwitspool_types::{Millis, WeightVersion};
 
 use super::{
-    Answer, HandedOver, Pending, Record, Refusal, Request, Role, StepAction, TrainerSteps,
+    AcknowledgedBatch, Answer, Pending, Record, Refusal, Request, Role, StepAction, TrainerSteps,
     image::{Stage, spec_hash},
 };
 use crate::{Digest, Freshness, GroupSpec, Sample, SampleId, StepNumber};
@@ -107,7 +107,7 @@
     }
 
     /// Returns what an acknowledgment hands over; nothing for a step that isn't held frozen.
-    fn handed_over(&self, step: StepNumber) -> Option<HandedOver> {
+    fn handed_over(&self, step: StepNumber) -> Option<AcknowledgedBatch> {
         let Stage::Frozen { batch, .. } = &self.image.step(step)?.stage else {
             return None;
         };
@@ -116,7 +116,7 @@
             .iter()
             .map(|sample| sample.tokens.len() as u64)
             .sum();
-        Some(HandedOver { step, tokens })
+        Some(AcknowledgedBatch { step, tokens })
     }
 
     fn acknowledge(
@@ -198,7 +198,7 @@
         // The oldest step only counts against the bound by its own size, so that it can get whole.
         let is_oldest = self.image.oldest().is_none_or(|oldest| step <= oldest);
         let waiting = if is_oldest { own } else { self.image.waiting() };
-        let bound = self.rules.bound_samples;
+        let bound = self.rules.max_open_samples;
         if more > 0 && waiting.saturating_add(more) > bound {
             return Err(Refusal::Full { bound, waiting });
         }
@@ -250,7 +250,7 @@
         let judged = self
             .image
             .order()
-            .judge(sample, self.rules.staleness_versions);
+            .sample_freshness(sample, self.rules.staleness_versions);
         matches!(judged, Freshness::TooOld { .. })
     }
 
@@ -258,7 +258,7 @@
         let is_open = |steps: &Self| {
             let held = steps.image.step(step);
             held.is_some_and(|held| {
-                matches!(held.stage, Stage::Open(_)) && held.progress().is_whole()
+                matches!(held.stage, Stage::Open(_)) && held.progress().is_complete()
             })
         };
         if !is_open(self) {
@@ -282,7 +282,7 @@
     ) -> bool {
         let (old, unknown) = self.judge_step(step);
         let since = *self.unknown_since.entry(step).or_insert(now);
-        let is_patient = now - since < self.rules.unknown_ms;
+        let is_patient = now - since < self.rules.unknown_timeout_ms;
         if unknown.is_empty() || !is_patient {
             self.unknown_since.remove(&step);
         }
@@ -309,7 +309,7 @@
                 match self
                     .image
                     .order()
-                    .judge(sample, self.rules.staleness_versions)
+                    .sample_freshness(sample, self.rules.staleness_versions)
                 {
                     Freshness::Fresh { .. } => {}
                     Freshness::TooOld { .. } => old.push(sample.id.clone()),
@@ -368,7 +368,7 @@
         &mut self,
         reply: u64,
         answer: Answer,
-        handed: Option<HandedOver>,
+        handed: Option<AcknowledgedBatch>,
         actions: &mut Vec<StepAction>,
     ) {
         if let Role::Home(home) = &mut self.role {
--- a/crates/godwitspool-rollout/src/step/mod.rs
+++ b/crates/godwitspool-rollout/src/step/mod.rs
@@ -11,7 +11,7 @@
 mod request;
 mod role;
 
-pub use event::{Epoch, HandedOver, PeerMessage, StepAction, StepEvent};
+pub use event::{AcknowledgedBatch, Epoch, PeerMessage, StepAction, StepEvent};
 pub use image::{Image, Record};
 pub use request::{Answer, Progress, Refusal, Request};
 
@@ -25,22 +25,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepRules {
     /// Samples that may wait in steps that aren't acknowledged; one step is always admitted.
-    pub bound_samples: u32,
+    pub max_open_samples: u32,
     /// Samples on a page.
     pub page_samples: usize,
     /// Versions that a sample may lag behind when the batch is frozen.
     pub staleness_versions: u32,
     /// Time for which a sample with an unknown version is held back before it is made again.
-    pub unknown_ms: Millis,
+    pub unknown_timeout_ms: Millis,
 }
 
 impl Default for StepRules {
     fn default() -> Self {
         Self {
-            bound_samples: 65_536,
+            max_open_samples: 65_536,
             page_samples: 256,
             staleness_versions: 1,
-            unknown_ms: Millis(10_000),
+            unknown_timeout_ms: Millis(10_000),
         }
     }
 }
@@ -118,7 +118,7 @@
 struct Pending {
     answer: Answer,
     /// What is counted once the answer is given.
-    handed: Option<HandedOver>,
+    handed: Option<AcknowledgedBatch>,
     reply: u64,
     sequence: u64,
 }
--- a/crates/godwitspool-rollout/src/step/request.rs
+++ b/crates/godwitspool-rollout/src/step/request.rs
@@ -74,7 +74,7 @@
 
 impl Progress {
     /// Tells whether all groups are there and whole.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.groups == self.total && self.done == self.samples
     }
 }
--- a/crates/godwitspool-rollout/src/straggler.rs
+++ b/crates/godwitspool-rollout/src/straggler.rs
@@ -21,26 +21,26 @@
     /// Part of a step's tokens that remedies may cost.
     pub extra_work: f64,
     /// Answers of the group from which on its own lengths count.
-    pub group_answers: usize,
+    pub min_group_answers: usize,
     /// Time saved that a move has to bring, on top of what it costs.
-    pub least_gain_ms: Millis,
+    pub min_gain_ms: Millis,
     /// Part of the remaining time that a move has to save.
-    pub least_part: f64,
+    pub min_gain_ratio: f64,
     /// Tokens of prompt that a target reads in the time of one generated token.
     pub prefill_ratio: f64,
     /// Time without a token after which a stream counts as silent.
-    pub silent_ms: Millis,
+    pub idle_timeout_ms: Millis,
 }
 
 impl Default for StragglerRules {
     fn default() -> Self {
         Self {
             extra_work: 0.04,
-            group_answers: 4,
-            least_gain_ms: Millis(1_000),
-            least_part: 0.25,
+            min_group_answers: 4,
+            min_gain_ms: Millis(1_000),
+            min_gain_ratio: 0.25,
             prefill_ratio: 20.0,
-            silent_ms: Millis(5_000),
+            idle_timeout_ms: Millis(5_000),
         }
     }
 }
@@ -51,19 +51,19 @@
     /// Sample.
     pub id: SampleId,
     /// When its last token came.
-    pub heard: Millis,
+    pub last_token_at: Millis,
     /// Most tokens.
     pub max_tokens: u32,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// When it started on its present target.
-    pub started: Millis,
+    pub started_at: Millis,
     /// Target.
     pub target: TargetName,
     /// Tokens so far.
     pub tokens: u32,
     /// Tokens that it brought to its present target.
-    pub resumed: u32,
+    pub resumed_tokens: u32,
     /// Second target, when it is hedged.
     pub hedge: Option<TargetName>,
 }
@@ -157,10 +157,10 @@
     }
 
     /// Returns the tokens still to expect from a sample that has `tokens` already.
-    pub fn expected_rest(&self, id: &SampleId, tokens: u32, max_tokens: u32) -> f64 {
-        let model = self.model.expected_rest(u64::from(tokens));
+    pub fn expected_remaining(&self, id: &SampleId, tokens: u32, max_tokens: u32) -> f64 {
+        let model = self.model.expected_remaining(u64::from(tokens));
         let own = self.groups.get(&(id.step, id.group));
-        let own = own.filter(|lengths| lengths.len() >= self.rules.group_answers);
+        let own = own.filter(|lengths| lengths.len() >= self.rules.min_group_answers);
         // A group may have seen no answer as long as this one; the model has.
         let rest = own.map_or(model, |lengths| mean_rest(lengths, tokens).max(model));
         rest.min(f64::from(max_tokens.saturating_sub(tokens)))
@@ -171,11 +171,11 @@
     /// `longest` is the most tokens that a running sample of its group has: once that is far beyond
     /// the usual, the others are expected to be as long before any of them is whole.
     pub fn expected_length(&self, id: &SampleId, longest: u32, max_tokens: u32) -> f64 {
-        let usual = self.expected_rest(id, 0, max_tokens);
+        let usual = self.expected_remaining(id, 0, max_tokens);
         if f64::from(longest) < self.model.mean() * LONG_FACTOR {
             return usual;
         }
-        let seen = f64::from(longest) + self.expected_rest(id, longest, max_tokens);
+        let seen = f64::from(longest) + self.expected_remaining(id, longest, max_tokens);
         usual.max(seen)
     }
 
@@ -216,10 +216,10 @@
 
     /// Returns the milliseconds until a sample is whole on its present target.
     fn remaining_ms(&self, attempt: &Attempt, now: Millis) -> f64 {
-        let rest = self.expected_rest(&attempt.id, attempt.tokens, attempt.max_tokens);
-        let made = f64::from(attempt.tokens.saturating_sub(attempt.resumed).max(1));
-        let spent = (now - attempt.started).0 as f64;
-        let silent = (now - attempt.heard).0 as f64;
+        let rest = self.expected_remaining(&attempt.id, attempt.tokens, attempt.max_tokens);
+        let made = f64::from(attempt.tokens.saturating_sub(attempt.resumed_tokens).max(1));
+        let spent = (now - attempt.started_at).0 as f64;
+        let silent = (now - attempt.last_token_at).0 as f64;
         rest * (spent.max(1.0) / made) + silent
     }
 
@@ -235,17 +235,17 @@
             pace.room > 0 && pace.tokens_per_s > 0.0 && pace.target != attempt.target
         });
         let best = others.max_by(|a, b| a.tokens_per_s.total_cmp(&b.tokens_per_s))?;
-        let rest = self.expected_rest(&attempt.id, attempt.tokens, attempt.max_tokens);
-        let read = f64::from(attempt.prompt + attempt.tokens) / self.rules.prefill_ratio;
-        let is_silent = now - attempt.heard >= self.rules.silent_ms;
+        let rest = self.expected_remaining(&attempt.id, attempt.tokens, attempt.max_tokens);
+        let read = f64::from(attempt.prompt_tokens + attempt.tokens) / self.rules.prefill_ratio;
+        let is_silent = now - attempt.last_token_at >= self.rules.idle_timeout_ms;
         // A hedge runs the rest twice; a move only reads what it brings along.
         let cost = if is_silent { read + rest } else { read };
         let ms_per_token = 1_000.0 / best.tokens_per_s;
         let elsewhere = (read + rest) * ms_per_token;
         let gain = remaining - elsewhere.max(end);
         let pays = gain > cost * ms_per_token / f64::from(best.room.max(1))
-            && gain >= self.rules.least_gain_ms.0 as f64
-            && gain >= self.rules.least_part * remaining;
+            && gain >= self.rules.min_gain_ms.0 as f64
+            && gain >= self.rules.min_gain_ratio * remaining;
         let budget = self.rules.extra_work * self.made.max(self.model.mean() * UNLEARNT_ANSWERS);
         if !pays || self.extra + cost > budget {
             return None;
--- a/crates/godwitspool-rollout/src/swap.rs
+++ b/crates/godwitspool-rollout/src/swap.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SwapRules {
     /// Failed swaps after which a target is taken out.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Part of the service's targets that may swap at once; at least one always may.
-    pub fraction: f64,
+    pub max_fraction: f64,
     /// Longest spacing of swaps while the weight store refuses.
-    pub slowest_ms: Millis,
+    pub max_spacing_ms: Millis,
     /// First spacing of swaps once the weight store has refused one.
-    pub spacing_ms: Millis,
+    pub min_spacing_ms: Millis,
     /// Time in which a swap is to be answered.
     pub timeout_ms: Millis,
     /// Time after a swap's answer from which other versions prove it false.
@@ -27,10 +27,10 @@
 impl Default for SwapRules {
     fn default() -> Self {
         Self {
-            attempts: 3,
-            fraction: 0.25,
-            slowest_ms: Millis(2_000),
-            spacing_ms: Millis(50),
+            max_attempts: 3,
+            max_fraction: 0.25,
+            max_spacing_ms: Millis(2_000),
+            min_spacing_ms: Millis(50),
             timeout_ms: Millis(30_000),
             verify_ms: Millis(3_000),
         }
@@ -261,17 +261,17 @@
             return;
         }
         match why {
-            SwapFailure::Fenced => target.state = SwapState::Waiting(now + rules.slowest_ms),
+            SwapFailure::Fenced => target.state = SwapState::Waiting(now + rules.max_spacing_ms),
             SwapFailure::RateLimited => {
-                let slower = Millis(self.spacing.0 * 2).max(rules.spacing_ms);
-                self.spacing = slower.min(rules.slowest_ms);
+                let slower = Millis(self.spacing.0 * 2).max(rules.min_spacing_ms);
+                self.spacing = slower.min(rules.max_spacing_ms);
                 self.next_at = now + self.spacing;
                 target.state = SwapState::Waiting(now + self.spacing);
             }
             SwapFailure::Failed => {
                 target.failures += 1;
-                if target.failures < rules.attempts {
-                    target.state = SwapState::Waiting(now + rules.spacing_ms);
+                if target.failures < rules.max_attempts {
+                    target.state = SwapState::Waiting(now + rules.min_spacing_ms);
                     return;
                 }
                 target.state = SwapState::Out;
@@ -299,7 +299,7 @@
         };
         let swapping = self.targets.values();
         let swapping = swapping.filter(|target| matches!(target.state, SwapState::Swapping(_)));
-        let most = (self.targets.len() as f64 * self.rules.fraction)
+        let most = (self.targets.len() as f64 * self.rules.max_fraction)
             .floor()
             .max(1.0) as usize;
         let mut free = most.saturating_sub(swapping.count());
--- a/crates/godwitspool-rollout/src/version_order.rs
+++ b/crates/godwitspool-rollout/src/version_order.rs
@@ -96,9 +96,9 @@
     /// let mut sample = Sample::new(SampleId::default());
     /// sample.push("a", &"v1".into());
     /// sample.push("b", &"v3".into());
-    /// assert_eq!(order.judge(&sample, 1), Freshness::TooOld { age: 2 });
+    /// assert_eq!(order.sample_freshness(&sample, 1), Freshness::TooOld { age: 2 });
     /// ```
-    pub fn judge(&self, sample: &Sample, bound: u32) -> Freshness {
+    pub fn sample_freshness(&self, sample: &Sample, bound: u32) -> Freshness {
         if self.versions.is_empty() {
             return Freshness::Fresh { age: 0 };
         }
--- a/crates/godwitspool-rollout/tests/policies.rs
+++ b/crates/godwitspool-rollout/tests/policies.rs
@@ -4,8 +4,8 @@
 
 use godwitspool_rollout::{
     Attempt, ReclaimBudget, ReclaimMove, ReclaimedStream, Remedy, SampleId, Score, ScoreAction,
-    ScoreEvent, Scoring, ScoringRules, ShareRules, Shares, StragglerRules, Stragglers, TargetPace,
-    plan_reclaim,
+    ScoreEvent, Scoring, ScoringRules, Shares, StragglerRules, Stragglers, TargetPace,
+    TrainerDemand, plan_reclaim,
 };
 use godwitspool_types::{Millis, TrainerName};
 use rstest::rstest;
@@ -35,10 +35,10 @@
     let mut shares = Shares::default();
     let names: Vec<TrainerName> = (1..=12).map(|n| format!("t{n:02}").into()).collect();
     for (share, name) in (1..).zip(&names) {
-        let rules = ShareRules {
+        let rules = TrainerDemand {
             share,
             waiting: 100_000,
-            ..ShareRules::default()
+            ..TrainerDemand::default()
         };
         shares.set(name.clone(), rules);
     }
@@ -55,15 +55,15 @@
 #[test]
 fn what_a_trainer_leaves_goes_to_the_others_and_is_not_saved_up() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 1_000,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("busy".into(), rules.clone());
     shares.set(
         "idle".into(),
-        ShareRules {
+        TrainerDemand {
             waiting: 0,
             ..rules.clone()
         },
@@ -79,15 +79,15 @@
 #[test]
 fn a_late_step_runs_ahead_by_a_bounded_amount() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 10_000,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("calm".into(), rules.clone());
-    let late = ShareRules {
+    let late = TrainerDemand {
         deadline: Some(Millis(10)),
-        rest: Millis(1_000),
+        remaining: Millis(1_000),
         ..rules
     };
     shares.set("late".into(), late);
@@ -100,10 +100,10 @@
 #[test]
 fn a_trainer_without_room_keeps_its_turn() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 1_000,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("a".into(), rules.clone());
     shares.set("b".into(), rules);
@@ -117,10 +117,10 @@
 #[test]
 fn refunded_work_is_not_charged() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 1,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("t".into(), rules);
     shares.next(Millis(0), 5.0, |_| true);
@@ -149,13 +149,13 @@
 fn attempt(index: u32, tokens: u32, started: u64, heard: u64) -> Attempt {
     Attempt {
         id: sample(index),
-        heard: Millis(heard),
+        last_token_at: Millis(heard),
         max_tokens: 4_096,
-        prompt: 100,
-        started: Millis(started),
+        prompt_tokens: 100,
+        started_at: Millis(started),
         target: "slow".into(),
         tokens,
-        resumed: 0,
+        resumed_tokens: 0,
         hedge: None,
     }
 }
@@ -271,7 +271,7 @@
 #[test]
 fn a_score_is_called_again_and_then_reported_as_failed() {
     let mut scoring = Scoring::new(ScoringRules {
-        attempts: 2,
+        max_attempts: 2,
         ..ScoringRules::default()
     });
     let call = [ScoreAction::Call("k".into())];
@@ -330,11 +330,11 @@
 fn every_reclaimed_stream_gets_one_move_within_notice_and_room() {
     let streams = (0..200).map(|index| ReclaimedStream {
         id: sample(index),
-        rest_ms: Millis(u64::from(index) * 100),
+        remaining_ms: Millis(u64::from(index) * 100),
         tokens: index * 10,
     });
     let budget = ReclaimBudget {
-        parallel: 1,
+        max_parallel: 1,
         room: 100,
         ..ReclaimBudget::default()
     };
--- a/crates/godwitspool-rollout/tests/samples.rs
+++ b/crates/godwitspool-rollout/tests/samples.rs
@@ -60,14 +60,26 @@
     let order = order(&["v1", "v2", "v3"]);
     let mut sample = Sample::new(SampleId::default());
     sample.push("a", &"v3".into());
-    assert_eq!(order.judge(&sample, 0), Freshness::Fresh { age: 0 });
+    assert_eq!(
+        order.sample_freshness(&sample, 0),
+        Freshness::Fresh { age: 0 }
+    );
     sample.push("b", &"v2".into());
-    assert_eq!(order.judge(&sample, 1), Freshness::Fresh { age: 1 });
-    assert_eq!(order.judge(&sample, 0), Freshness::TooOld { age: 1 });
+    assert_eq!(
+        order.sample_freshness(&sample, 1),
+        Freshness::Fresh { age: 1 }
+    );
+    assert_eq!(
+        order.sample_freshness(&sample, 0),
+        Freshness::TooOld { age: 1 }
+    );
     sample.push("c", &"other".into());
-    assert_eq!(order.judge(&sample, 1), Freshness::Unknown);
+    assert_eq!(order.sample_freshness(&sample, 1), Freshness::Unknown);
     sample.push("d", &"v1".into());
-    assert_eq!(order.judge(&sample, 1), Freshness::TooOld { age: 2 });
+    assert_eq!(
+        order.sample_freshness(&sample, 1),
+        Freshness::TooOld { age: 2 }
+    );
 }
 
 #[test]
@@ -111,10 +123,10 @@
     (0..980).for_each(|_| lengths.add(200));
     (0..20).for_each(|_| lengths.add(2_000));
     assert!((lengths.mean() - 236.0).abs() < 5.0);
-    assert!((lengths.expected_rest(0) - 236.0).abs() < 5.0);
-    assert!((lengths.expected_rest(300) - 1_700.0).abs() < 20.0);
+    assert!((lengths.expected_remaining(0) - 236.0).abs() < 5.0);
+    assert!((lengths.expected_remaining(300) - 1_700.0).abs() < 20.0);
     assert!(
-        (lengths.expected_rest(5_000) - 5_000.0).abs() < 1.0,
+        (lengths.expected_remaining(5_000) - 5_000.0).abs() < 1.0,
         "longer than all before"
     );
 }
--- a/crates/godwitspool-rollout/tests/steps.rs
+++ b/crates/godwitspool-rollout/tests/steps.rs
@@ -1,8 +1,8 @@
 //! What the home answers the trainer.
 
 use godwitspool_rollout::{
-    Answer, Digest, GroupSpec, HandedOver, Message, Refusal, Request, Sample, SampleId, StepAction,
-    StepEvent, StepNumber, StepRules, TrainerSteps,
+    AcknowledgedBatch, Answer, Digest, GroupSpec, Message, Refusal, Request, Sample, SampleId,
+    StepAction, StepEvent, StepNumber, StepRules, TrainerSteps,
 };
 use godwitspool_types::Millis;
 use rstest::rstest;
@@ -97,7 +97,7 @@
     let mut alone = Alone::new(StepRules::default());
     assert!(matches!(alone.submit(1, [0]), Answer::Submitted(_)));
     alone.finish("v1");
-    assert!(matches!(alone.fetch(1, 0), Answer::Waiting(progress) if !progress.is_whole()));
+    assert!(matches!(alone.fetch(1, 0), Answer::Waiting(progress) if !progress.is_complete()));
     alone.submit(1, [0, 1]);
     assert_eq!(
         alone.started.len(),
@@ -151,7 +151,7 @@
     };
     assert_eq!(
         acknowledge(),
-        [HandedOver {
+        [AcknowledgedBatch {
             step: StepNumber(1),
             tokens
         }]
@@ -270,7 +270,7 @@
 #[test]
 fn a_full_trainer_is_refused_and_its_oldest_step_still_gets_whole() {
     let mut alone = Alone::new(StepRules {
-        bound_samples: 4,
+        max_open_samples: 4,
         ..StepRules::default()
     });
     alone.submit(1, [0]);
--- a/crates/godwitspool-rollout/tests/swaps.rs
+++ b/crates/godwitspool-rollout/tests/swaps.rs
@@ -40,7 +40,7 @@
     let mut plan = plan(
         8,
         SwapRules {
-            fraction: 1.0,
+            max_fraction: 1.0,
             ..SwapRules::default()
         },
     );
@@ -135,7 +135,7 @@
         seeds in prop::collection::vec(0..100_u8, 200),
     ) {
         let rules = SwapRules::default();
-        let most = (fates.len() as f64 * rules.fraction).floor().max(1.0) as usize;
+        let most = (fates.len() as f64 * rules.max_fraction).floor().max(1.0) as usize;
         let mut plan = plan(fates.len(), rules);
         let mut open: BTreeSet<TargetName> = BTreeSet::new();
         let mut actions = plan.decide(SwapEvent::Desired("v2".into()), Millis(0));
