--- a/crates/godwitspool-rollout/src/batch.rs
+++ b/crates/godwitspool-rollout/src/batch.rs
@@ -1,4 +1,4 @@
-//! The immutable batch of a step.
+//! The immutable batch of a completed step.
 
 use std::{fmt, sync::Arc};
 
@@ -7,7 +7,7 @@
 
 use crate::{Sample, Score};
 
-/// Digest of a batch's contents: pages with the same digest belong together.
+/// Digest of a batch's contents. Pages with the same digest belong to the same batch.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -20,12 +20,12 @@
     }
 }
 
-/// A step's samples in order of group and index, never changed once made.
+/// A step's samples in order of group and index. A batch never changes after its creation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Batch {
-    /// Digest of the contents.
+    /// Digest of the samples, including their tokens, versions and scores.
     pub digest: Digest,
-    /// Samples.
+    /// All samples of the step, in order of group and index.
     pub samples: Vec<Arc<Sample>>,
 }
 
@@ -34,16 +34,16 @@
 pub struct Page {
     /// Digest of the whole batch.
     pub digest: Digest,
-    /// Number of the page, from 0.
+    /// Page number, from 0.
     pub page: u32,
-    /// Pages of the batch.
+    /// Number of pages in the batch.
     pub pages: u32,
-    /// Samples of the page.
+    /// Samples on this page.
     pub samples: Vec<Arc<Sample>>,
 }
 
 impl Batch {
-    /// Makes a batch of samples that stand in order of group and index.
+    /// Creates a batch. The samples must be in order of group and index.
     ///
     /// ```
     /// use godwitspool_rollout::{Batch, Sample, SampleId};
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns a page of at most `size` samples, or nothing when the batch has no such page.
+    /// Returns a page of at most `size` samples, or `None` if the batch has no such page.
     pub fn page(&self, page: u32, size: usize) -> Option<Page> {
         let size = size.max(1);
         let pages = self.samples.len().div_ceil(size).max(1) as u32;
--- a/crates/godwitspool-rollout/src/lengths.rs
+++ b/crates/godwitspool-rollout/src/lengths.rs
@@ -1,11 +1,13 @@
-//! How long answers are.
+//! Distribution of answer lengths.
 
 use hdrhistogram::Histogram;
 
-const MOST_TOKENS: u64 = 1 << 24;
+const MAX_TOKENS: u64 = 1 << 24;
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// The distribution of answers' lengths in tokens.
+/// A histogram of answer lengths in tokens.
+///
+/// Lengths are recorded with two significant digits, and lengths above 2^24 tokens as 2^24.
 ///
 /// ```
 /// use godwitspool_rollout::Lengths;
@@ -23,7 +25,7 @@
 
 impl Default for Lengths {
     fn default() -> Self {
-        let histogram = Histogram::new_with_max(MOST_TOKENS, SIGNIFICANT_DIGITS);
+        let histogram = Histogram::new_with_max(MAX_TOKENS, SIGNIFICANT_DIGITS);
         Self {
             histogram: histogram.ok(),
         }
@@ -31,47 +33,49 @@
 }
 
 impl Lengths {
-    /// Adds the length of a whole answer.
+    /// Records the length of a complete answer.
     pub fn add(&mut self, tokens: u64) {
         if let Some(histogram) = &mut self.histogram {
-            histogram.saturating_record(tokens.min(MOST_TOKENS));
+            histogram.saturating_record(tokens.min(MAX_TOKENS));
         }
     }
 
-    /// Counts the answers.
+    /// Returns the number of recorded answers.
     pub fn len(&self) -> u64 {
         self.histogram.as_ref().map_or(0, Histogram::len)
     }
 
-    /// Tells whether no answer was added.
+    /// Returns `true` if no answer was recorded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns the length below which a part of the answers end.
+    /// Returns the length at a quantile from 0.0 to 1.0, or 0 without recorded answers.
     pub fn quantile(&self, part: f64) -> u64 {
         let histogram = self.histogram.as_ref();
         histogram.map_or(0, |histogram| histogram.value_at_quantile(part))
     }
 
-    /// Returns the mean length.
+    /// Returns the mean length, or 0.0 without recorded answers.
     pub fn mean(&self) -> f64 {
         self.histogram.as_ref().map_or(0.0, Histogram::mean)
     }
 
-    /// Returns how many more tokens to expect from an answer that has `tokens` already: the mean
-    /// rest of the answers that grew longer. Beyond the longest one the rest is as long again.
+    /// Returns how many more tokens to expect from an answer that already has `tokens`.
+    ///
+    /// This is the mean remainder of the recorded answers that are longer. If none is longer, the
+    /// answer is expected to double in length.
     pub fn expected_remaining(&self, tokens: u64) -> f64 {
         let recorded = self.histogram.iter().flat_map(Histogram::iter_recorded);
         let longer = recorded.filter(|bucket| bucket.value_iterated_to() > tokens);
-        let (mut count, mut rest) = (0.0, 0.0);
+        let (mut count, mut remaining) = (0.0, 0.0);
         for bucket in longer {
             let answers = f64::from(bucket.count_at_value());
             count += answers;
-            rest += answers * (bucket.value_iterated_to() - tokens) as f64;
+            remaining += answers * (bucket.value_iterated_to() - tokens) as f64;
         }
         if count > 0.0 {
-            rest / count
+            remaining / count
         } else {
             tokens as f64
         }
--- a/crates/godwitspool-rollout/src/lib.rs
+++ b/crates/godwitspool-rollout/src/lib.rs
@@ -1,15 +1,17 @@
-//! Steps, groups and samples of trainers: freshness, stragglers, shares and weight rollout.
+//! Decision logic for training rollouts: steps, sample freshness, stragglers, fair sharing and
+//! weight rollout.
 //!
-//! Everything here decides and does nothing: an event and a time go in, actions come out, and the
-//! entry and the steward carry them out. Main types:
+//! The crate performs no I/O: an event and the current time go in, actions come out, and the entry
+//! and the steward carry them out. Main types:
 //!
-//! - [`TrainerSteps`]: the steps of one trainer on one host, as home or as replica.
-//! - [`Sample`] and [`VersionOrder`]: what made a sample, and whether it is fresh enough.
-//! - [`Stragglers`]: which running samples to move or to hedge.
-//! - [`Shares`]: whose sample starts next.
+//! - [`TrainerSteps`]: the replicated steps of one trainer, as seen by one host.
+//! - [`Sample`] and [`VersionOrder`]: the weight versions that produced a sample, and whether they
+//!   are fresh enough.
+//! - [`Stragglers`]: which running samples to move or hedge.
+//! - [`Shares`]: which trainer's sample starts next.
 //! - [`SwapPlan`]: which target loads new weights next.
-//! - [`Scoring`]: calls of scoring services.
-//! - [`plan_reclaim`]: what happens to the streams of targets that are reclaimed.
+//! - [`Scoring`]: calls to scoring services.
+//! - [`plan_reclaim`]: what to do with streams on targets that are about to be reclaimed.
 //!
 //! ```
 //! use godwitspool_rollout::{Freshness, VersionOrder};
--- a/crates/godwitspool-rollout/src/placement.rs
+++ b/crates/godwitspool-rollout/src/placement.rs
@@ -1,11 +1,12 @@
-//! Which hosts keep a trainer's steps.
+//! Selects the hosts that store a trainer's steps.
 
 use godwitspool_types::{HostName, TrainerName};
 use rapidhash::v3::rapidhash_v3;
 
-/// Ranks hosts for a trainer by rendezvous hashing: the first is the home, the second the replica.
+/// Ranks hosts for a trainer by rendezvous hashing. The first is the home, the second the replica.
 ///
-/// A host that joins or leaves moves only the trainers that it wins or held.
+/// A host that joins or leaves does not change the relative order of the others, so only the
+/// trainers that it serves are moved.
 ///
 /// ```
 /// use godwitspool_rollout::rank_hosts;
--- a/crates/godwitspool-rollout/src/reclaim.rs
+++ b/crates/godwitspool-rollout/src/reclaim.rs
@@ -1,34 +1,35 @@
-//! What happens to the streams of targets that are reclaimed within seconds.
+//! Plans what to do with streams on targets that are reclaimed within seconds.
 
 use godwitspool_types::Millis;
 
 use crate::SampleId;
 
-/// A stream on a target that is reclaimed.
+/// A stream on a target that is about to be reclaimed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReclaimedStream {
-    /// Sample.
+    /// The sample that the stream produces.
     pub id: SampleId,
-    /// Time until it is expected to be whole.
+    /// Expected time until the sample is complete.
     pub remaining_ms: Millis,
-    /// Tokens of prompt and answer so far.
+    /// Tokens in the prompt and the answer so far.
     pub tokens: u32,
 }
 
-/// What can be done within the notice.
+/// What can be done between the reclaim notice and the reclaim.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReclaimBudget {
-    /// Time of one export.
+    /// Duration of one KV cache export.
     pub export_ms: Millis,
-    /// Tokens from which an export saves more than reading the tokens again.
+    /// Number of tokens from which exporting the KV cache is cheaper than prefilling the tokens
+    /// again.
     pub min_export_tokens: u32,
-    /// Time until the targets are gone.
+    /// Time until the targets are reclaimed.
     pub notice_ms: Millis,
-    /// Exports at once.
+    /// Maximum number of concurrent exports.
     pub max_parallel: u32,
-    /// Streams that other targets can take now.
+    /// Number of streams that other targets can accept now.
     pub room: u32,
-    /// Part of the notice that is left unused.
+    /// Safety margin at the end of the notice period.
     pub margin_ms: Millis,
 }
 
@@ -45,24 +46,27 @@
     }
 }
 
-/// What happens to one stream. All keep the tokens that the entry has received.
+/// What happens to one stream. In every case the tokens that the entry has received are kept.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReclaimMove {
-    /// Exports the KV cache and continues elsewhere.
+    /// Exports the KV cache and continues on another target.
     Export,
-    /// Lets it end where it is; it resumes elsewhere if it doesn't.
+    /// Lets the stream end on its target. If it does not end in time, it resumes on another target.
     Finish,
-    /// Waits for room and resumes behind its tokens.
+    /// Waits until a target has capacity, then resumes after the tokens received so far.
     Park,
-    /// Resumes elsewhere behind its tokens at once.
+    /// Resumes on another target immediately, after the tokens received so far.
     Resume,
 }
 
-/// The moves, in the order in which they are to be made.
+/// The moves in the order in which they must be carried out.
 pub type ReclaimPlan = Vec<(SampleId, ReclaimMove)>;
 
-/// Plans what happens to the streams: those that end in time stay, the longest of the others are
-/// exported as far as the notice allows, the rest resume elsewhere, and what finds no room waits.
+/// Plans a move for each stream.
+///
+/// Streams that are expected to end in time stay. Of the others, the longest are exported as far as
+/// the notice allows, and the rest resume on other targets. Streams without capacity elsewhere
+/// wait.
 ///
 /// ```
 /// use godwitspool_rollout::{
@@ -80,8 +84,8 @@
 /// ```
 pub fn plan_reclaim(mut streams: Vec<ReclaimedStream>, budget: &ReclaimBudget) -> ReclaimPlan {
     let usable = budget.notice_ms - budget.margin_ms;
-    let rounds = usable.0 / budget.export_ms.0.max(1);
-    let mut exports = rounds * u64::from(budget.max_parallel);
+    let export_rounds = usable.0 / budget.export_ms.0.max(1);
+    let mut exports = export_rounds * u64::from(budget.max_parallel);
     let mut room = budget.room;
     streams.sort_by(|a, b| b.tokens.cmp(&a.tokens).then_with(|| a.id.cmp(&b.id)));
     let mut plan = ReclaimPlan::new();
--- a/crates/godwitspool-rollout/src/sample.rs
+++ b/crates/godwitspool-rollout/src/sample.rs
@@ -1,4 +1,4 @@
-//! Samples: what a trainer gets for one prompt.
+//! Samples: the answers that a trainer receives for its prompts.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -8,7 +8,7 @@
 
 use crate::Tokens;
 
-/// Number of a trainer's step.
+/// Number of a training step, counted by the trainer.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -21,7 +21,8 @@
     }
 }
 
-/// Identity of a sample, fixed before its first token: no sample can be in two steps.
+/// Identity of a sample. It is fixed before the first token, so a sample belongs to exactly one
+/// step.
 ///
 /// ```
 /// use godwitspool_rollout::{SampleId, StepNumber};
@@ -32,11 +33,11 @@
 /// ```
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct SampleId {
-    /// Trainer.
+    /// The trainer that submitted the prompt.
     pub trainer: TrainerName,
-    /// Step.
+    /// The step whose batch contains the sample.
     pub step: StepNumber,
-    /// Group in the step, from 0.
+    /// Number of the group in the step, from 0.
     pub group: u32,
     /// Index in the group, from 0.
     pub index: u32,
@@ -52,9 +53,9 @@
     }
 }
 
-/// A text that names no sample.
+/// Returned when a text is not a valid sample ID.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
-#[snafu(display("\"{text}\" is no TRAINER/STEP/GROUP/INDEX"))]
+#[snafu(display("invalid sample ID \"{text}\", expected TRAINER/STEP/GROUP/INDEX"))]
 pub struct SampleIdError {
     text: String,
 }
@@ -62,7 +63,7 @@
 impl FromStr for SampleId {
     type Err = SampleIdError;
 
-    /// Reads `TRAINER/STEP/GROUP/INDEX`; a trainer's name may contain slashes.
+    /// Parses `TRAINER/STEP/GROUP/INDEX`. The trainer's name may contain slashes.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let read = || {
             let mut parts = text.rsplitn(4, '/');
@@ -82,39 +83,39 @@
 /// A message of a prompt.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Message {
-    /// Text.
+    /// Text of the message.
     pub content: String,
-    /// `system`, `user` or `assistant`.
+    /// Role of the author: `system`, `user` or `assistant`.
     pub role: String,
 }
 
-/// A prompt that is sampled several times.
+/// A group: one prompt that is sampled several times.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupSpec {
-    /// Group in the step, from 0.
+    /// Number of the group in the step, from 0.
     pub group: u32,
-    /// Most tokens of a sample.
+    /// Maximum number of tokens in each answer.
     pub max_tokens: u32,
-    /// Prompt.
+    /// Messages of the prompt.
     pub messages: Arc<[Message]>,
-    /// Samples in the group.
+    /// Number of samples to generate.
     pub samples: u32,
 }
 
 impl GroupSpec {
-    /// Returns the bytes that the prompt holds.
+    /// Returns the approximate size of the prompt in bytes.
     pub fn bytes(&self) -> usize {
         let texts = self.messages.iter().map(|m| m.content.len() + m.role.len());
         texts.sum::<usize>() + self.messages.len() * size_of::<Message>()
     }
 }
 
-/// A run of tokens that one weight version produced.
+/// A run of consecutive tokens that the same weight version produced.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Span {
-    /// Tokens in the run.
+    /// Number of tokens in the run, at least 1.
     pub tokens: u32,
-    /// Version that produced them, as the engine named it in each chunk.
+    /// Version that produced them, as named by the engine in each chunk.
     pub version: WeightVersion,
 }
 
@@ -122,38 +123,38 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SampleFinish {
-    /// The most tokens asked for were reached.
+    /// The answer reached the maximum number of tokens.
     Length,
     /// The answer is complete.
     #[default]
     Stop,
 }
 
-/// What scoring gave.
+/// Result of scoring a sample.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Score {
-    /// Scoring failed for good; there is no figure.
+    /// Scoring failed after all retries, for this reason.
     Failed(String),
-    /// No score was asked for.
+    /// The trainer did not request scoring.
     #[default]
     NotAsked,
-    /// Figure of the scoring service.
+    /// Score returned by the scoring service.
     Value(f64),
 }
 
-/// A whole answer with the versions that produced it.
+/// An answer with the weight versions that produced it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Sample {
-    /// Identity.
+    /// Identity of the sample.
     pub id: SampleId,
-    /// Why it ended.
+    /// Why the answer ended.
     pub finish: SampleFinish,
-    /// Score.
+    /// Result of scoring.
     pub score: Score,
-    /// Versions in order of the tokens; the spans cover all tokens.
+    /// Weight versions in token order. The spans cover all tokens.
     pub spans: Vec<Span>,
-    /// Tokens.
+    /// Tokens of the answer.
     pub tokens: Tokens,
 }
 
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Appends a token and the version that its chunk names.
+    /// Appends a token that was produced by a weight version.
     pub fn push(&mut self, token: &str, version: &WeightVersion) {
         self.tokens.push(token);
         match self.spans.last_mut() {
@@ -187,12 +188,12 @@
         }
     }
 
-    /// Returns the bytes that the sample holds.
+    /// Returns the approximate memory size in bytes.
     pub fn bytes(&self) -> usize {
         size_of::<Self>() + self.tokens.bytes() + self.spans.capacity() * size_of::<Span>()
     }
 
-    /// Tells whether the spans cover all tokens.
+    /// Returns `true` if the spans cover all tokens and none is empty.
     pub fn is_consistent(&self) -> bool {
         let covered: u64 = self.spans.iter().map(|span| u64::from(span.tokens)).sum();
         covered == self.tokens.len() as u64 && self.spans.iter().all(|span| span.tokens > 0)
--- a/crates/godwitspool-rollout/src/scoring.rs
+++ b/crates/godwitspool-rollout/src/scoring.rs
@@ -1,4 +1,4 @@
-//! Calls of scoring services.
+//! Calls to scoring services.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,16 +6,16 @@
 
 use crate::Score;
 
-/// Bounds of scoring calls.
+/// Limits for scoring calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScoringRules {
-    /// Calls of one score before it is reported as failed.
+    /// Number of calls for one score before it is reported as failed.
     pub max_attempts: u32,
-    /// Wait before the second call; it doubles with each further one.
+    /// Delay before the second call. It doubles before each further one.
     pub backoff_ms: Millis,
-    /// Calls at once.
+    /// Maximum number of concurrent calls.
     pub concurrency: usize,
-    /// Time in which a call is to be answered.
+    /// Time after which an unanswered call has failed.
     pub timeout_ms: Millis,
 }
 
@@ -30,31 +30,32 @@
     }
 }
 
-/// What happened to a score. The key is the sample or the group, and the call's idempotency key.
+/// An event for one score. The key identifies the sample or group and is also the idempotency key
+/// of the call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScoreEvent {
-    /// A score is wanted.
+    /// A score is requested. Has no effect while the same key is pending.
     Ask(String),
-    /// The service answered.
+    /// The service answered with this score.
     Answered(String, f64),
-    /// The score is no longer wanted.
+    /// The score is no longer needed.
     Cancel(String),
-    /// A call failed.
+    /// A call failed for the given reason.
     Failed(String, String),
     /// Time has passed.
     Tick,
 }
 
-/// What to do for a score.
+/// An action for one score.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScoreAction {
     /// Calls the service with the key as idempotency key.
     Call(String),
-    /// The score is settled.
+    /// Reports the final score, or the reason of the last failure.
     Settle(String, Score),
 }
 
-/// Scores that are wanted.
+/// All requested scores that are not settled yet.
 #[derive(Debug, Default)]
 pub struct Scoring {
     calls: BTreeMap<String, Call>,
@@ -72,11 +73,11 @@
 enum CallState {
     Called(Millis),
     Queued,
-    Resting(Millis),
+    BackingOff(Millis),
 }
 
 impl Scoring {
-    /// Creates scoring under the given bounds.
+    /// Creates an instance without requested scores.
     ///
     /// ```
     /// use godwitspool_rollout::{ScoreAction, ScoreEvent, Scoring, ScoringRules};
@@ -93,11 +94,11 @@
         }
     }
 
-    /// Decides what follows from an event.
+    /// Applies an event and returns the resulting actions, including calls that can start now.
     pub fn decide(&mut self, event: ScoreEvent, now: Millis) -> Vec<ScoreAction> {
         let mut actions = Vec::new();
         match event {
-            ScoreEvent::Ask(key) => self.ask(key),
+            ScoreEvent::Ask(key) => self.enqueue(key),
             ScoreEvent::Answered(key, value) => {
                 if self.calls.remove(&key).is_some() {
                     actions.push(ScoreAction::Settle(key, Score::Value(value)));
@@ -107,13 +108,13 @@
                 self.calls.remove(&key);
             }
             ScoreEvent::Failed(key, reason) => self.fail(key, reason, now, &mut actions),
-            ScoreEvent::Tick => self.expire(now, &mut actions),
+            ScoreEvent::Tick => self.time_out(now, &mut actions),
         }
-        self.call(now, &mut actions);
+        self.start_calls(now, &mut actions);
         actions
     }
 
-    fn ask(&mut self, key: String) {
+    fn enqueue(&mut self, key: String) {
         if !self.calls.contains_key(&key) {
             let state = CallState::Queued;
             self.calls.insert(key.clone(), Call { attempts: 0, state });
@@ -134,10 +135,10 @@
             return;
         }
         let doublings = call.attempts.saturating_sub(1).min(16);
-        call.state = CallState::Resting(now + Millis(self.rules.backoff_ms.0 << doublings));
+        call.state = CallState::BackingOff(now + Millis(self.rules.backoff_ms.0 << doublings));
     }
 
-    fn expire(&mut self, now: Millis, actions: &mut Vec<ScoreAction>) {
+    fn time_out(&mut self, now: Millis, actions: &mut Vec<ScoreAction>) {
         let timeout = self.rules.timeout_ms;
         let is_expired =
             |call: &Call| matches!(call.state, CallState::Called(at) if now - at >= timeout);
@@ -147,14 +148,14 @@
             self.fail(key, "timeout".to_owned(), now, actions);
         }
         for (key, call) in &mut self.calls {
-            if matches!(call.state, CallState::Resting(until) if until <= now) {
+            if matches!(call.state, CallState::BackingOff(until) if until <= now) {
                 call.state = CallState::Queued;
                 self.queue.push_back(key.clone());
             }
         }
     }
 
-    fn call(&mut self, now: Millis, actions: &mut Vec<ScoreAction>) {
+    fn start_calls(&mut self, now: Millis, actions: &mut Vec<ScoreAction>) {
         let called = self.calls.values();
         let called = called.filter(|call| matches!(call.state, CallState::Called(_)));
         let mut free = self.rules.concurrency.saturating_sub(called.count());
--- a/crates/godwitspool-rollout/src/swap.rs
+++ b/crates/godwitspool-rollout/src/swap.rs
@@ -1,26 +1,33 @@
-//! Which target loads new weights next.
+//! Rollout of new weights over the targets of a service.
 //!
-//! A swap's answer is only a claim: samples are labelled by the version in each chunk, and a target
-//! counts as swapped for good once a chunk or a load report shows the version.
+//! A target's answer to a swap order is not proof that it uses the new weights. Samples are
+//! labelled by the version in each chunk, and a target counts as current only once a chunk or a
+//! load report names the version.
 
 use std::collections::BTreeMap;
 
 use godwitspool_types::{Millis, TargetName, WeightVersion};
 
-/// Bounds of a rollout of weights over one service's targets.
+/// Limits of a weight rollout over one service's targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SwapRules {
-    /// Failed swaps after which a target is taken out.
+    /// Number of failed swaps after which a target is taken out.
     pub max_attempts: u32,
-    /// Part of the service's targets that may swap at once; at least one always may.
+    /// Maximum part of the service's targets that swap at the same time. One target always may.
     pub max_fraction: f64,
-    /// Longest spacing of swaps while the weight store refuses.
+    /// Maximum time between swaps while the weight store rate-limits them, and the retry delay of a
+    /// swap that was fenced.
     pub max_spacing_ms: Millis,
-    /// First spacing of swaps once the weight store has refused one.
-    pub min_spacing_ms: Millis,
-    /// Time in which a swap is to be answered.
+    /// Time between swaps after the weight store has rate-limited one for the first time, and the
+    /// retry delay of a failed swap.
+    ///
+    /// Each further rate-limited swap doubles the time between swaps, each successful one reduces
+    /// it by a tenth.
+    pub initial_spacing_ms: Millis,
+    /// Time after which an unanswered swap has failed.
     pub timeout_ms: Millis,
-    /// Time after a swap's answer from which other versions prove it false.
+    /// Time after a swap's answer from which another version in a chunk or load report disproves
+    /// it. Earlier ones may predate the swap.
     pub verify_ms: Millis,
 }
 
@@ -30,7 +37,7 @@
             max_attempts: 3,
             max_fraction: 0.25,
             max_spacing_ms: Millis(2_000),
-            min_spacing_ms: Millis(50),
+            initial_spacing_ms: Millis(50),
             timeout_ms: Millis(30_000),
             verify_ms: Millis(3_000),
         }
@@ -40,58 +47,58 @@
 /// Why a swap failed.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum SwapFailure {
-    /// The target refused the fencing token: another process is in charge.
+    /// The target rejected the fencing token because another process holds the lease.
     Fenced,
-    /// The target failed or didn't answer.
+    /// The target reported an error, timed out, or answered with another version.
     Failed,
-    /// The weight store is over its rate.
+    /// The weight store rejected the request because of its rate limit.
     RateLimited,
 }
 
-/// What happened.
+/// An event in a weight rollout.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SwapEvent {
-    /// A target answered that it uses a version.
+    /// A target answered a swap order with the version that it claims to use.
     Answered(TargetName, WeightVersion),
-    /// The version that all targets are to use.
+    /// The version that all targets must load.
     Desired(WeightVersion),
     /// A swap failed.
     Failed(TargetName, SwapFailure),
-    /// A chunk or a load report shows a target's version.
+    /// A chunk or a load report names the version that a target uses.
     Seen(TargetName, WeightVersion),
-    /// The service's targets with the interactive requests that each runs.
+    /// All targets of the service, each with its number of running interactive requests.
     Targets(Vec<(TargetName, u32)>),
     /// Time has passed.
     Tick,
 }
 
-/// What to do.
+/// An action of a weight rollout.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SwapAction {
-    /// The target may take work again.
+    /// Lets the target receive work again.
     Restore(TargetName),
-    /// Orders the target to load the version.
+    /// Orders the target to load a version.
     Swap(TargetName, WeightVersion),
-    /// The target takes no work until it has the version.
+    /// Gives the target no work until it uses the version.
     TakeOut(TargetName),
 }
 
-/// How far a target is.
+/// Progress of one target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SwapState {
-    /// It answered that it has the version, which no chunk has shown yet.
+    /// It answered the swap order at this time, and no chunk or load report has confirmed it yet.
     Claimed(Millis),
-    /// It has the version.
+    /// A chunk or a load report has shown the desired version.
     Current,
-    /// It was ordered to load the version.
+    /// It was ordered to load the version at this time and has not answered yet.
     Swapping(Millis),
-    /// It failed too often.
+    /// It failed too often and is taken out.
     Out,
-    /// It is to swap, not before this time.
+    /// It must swap, but not before this time.
     Waiting(Millis),
 }
 
-/// The rollout of weights over one service's targets.
+/// State of a weight rollout over one service's targets.
 #[derive(Debug, Default)]
 pub struct SwapPlan {
     desired: Option<WeightVersion>,
@@ -106,12 +113,12 @@
     failures: u32,
     interactive: u32,
     is_out: bool,
-    seen: Option<WeightVersion>,
+    observed: Option<WeightVersion>,
     state: SwapState,
 }
 
 impl SwapPlan {
-    /// Creates a rollout under the given bounds.
+    /// Creates a rollout without targets or a desired version.
     ///
     /// ```
     /// use godwitspool_rollout::{SwapAction, SwapEvent, SwapPlan, SwapRules};
@@ -129,45 +136,45 @@
         }
     }
 
-    /// Decides what follows from an event.
+    /// Applies an event and returns the resulting actions, including swaps that can start now.
     pub fn decide(&mut self, event: SwapEvent, now: Millis) -> Vec<SwapAction> {
         let mut actions = Vec::new();
         match event {
             SwapEvent::Answered(target, version) => {
-                self.answer(&target, &version, now, &mut actions);
+                self.handle_answer(&target, &version, now, &mut actions);
             }
-            SwapEvent::Desired(version) => self.desire(version),
+            SwapEvent::Desired(version) => self.set_desired(version),
             SwapEvent::Failed(target, why) => self.fail(&target, why, now, &mut actions),
-            SwapEvent::Seen(target, version) => self.see(&target, version, now, &mut actions),
-            SwapEvent::Targets(targets) => self.list(targets),
-            SwapEvent::Tick => self.expire(now, &mut actions),
+            SwapEvent::Seen(target, version) => self.observe(&target, version, now, &mut actions),
+            SwapEvent::Targets(targets) => self.set_targets(targets),
+            SwapEvent::Tick => self.time_out(now, &mut actions),
         }
-        self.start(now, &mut actions);
+        self.start_swaps(now, &mut actions);
         actions
     }
 
-    /// Returns how far a target is.
+    /// Returns a target's progress, or `None` for an unknown target.
     pub fn state(&self, target: &TargetName) -> Option<SwapState> {
         self.targets.get(target).map(|target| target.state)
     }
 
-    /// Counts the targets that have or claim the version, and all targets.
+    /// Returns the number of targets that use or claim the version, and the number of all targets.
     pub fn progress(&self) -> (usize, usize) {
-        let has =
+        let is_swapped =
             |target: &&Target| matches!(target.state, SwapState::Claimed(_) | SwapState::Current);
         (
-            self.targets.values().filter(has).count(),
+            self.targets.values().filter(is_swapped).count(),
             self.targets.len(),
         )
     }
 
-    fn desire(&mut self, version: WeightVersion) {
+    fn set_desired(&mut self, version: WeightVersion) {
         if self.desired.as_ref() == Some(&version) {
             return;
         }
         for target in self.targets.values_mut() {
             target.failures = 0;
-            target.state = if target.seen.as_ref() == Some(&version) {
+            target.state = if target.observed.as_ref() == Some(&version) {
                 SwapState::Current
             } else {
                 SwapState::Waiting(Millis::ZERO)
@@ -176,7 +183,7 @@
         self.desired = Some(version);
     }
 
-    fn list(&mut self, targets: Vec<(TargetName, u32)>) {
+    fn set_targets(&mut self, targets: Vec<(TargetName, u32)>) {
         let listed: BTreeMap<_, _> = targets.into_iter().collect();
         self.targets.retain(|name, _| listed.contains_key(name));
         for (name, interactive) in listed {
@@ -184,50 +191,50 @@
                 failures: 0,
                 interactive,
                 is_out: false,
-                seen: None,
+                observed: None,
                 state: SwapState::Waiting(Millis::ZERO),
             });
             target.interactive = interactive;
         }
     }
 
-    fn answer(
+    fn handle_answer(
         &mut self,
         name: &TargetName,
         version: &WeightVersion,
         now: Millis,
         actions: &mut Vec<SwapAction>,
     ) {
-        let is_right = self.desired.as_ref() == Some(version);
+        let is_desired = self.desired.as_ref() == Some(version);
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
         if !matches!(target.state, SwapState::Swapping(_)) {
             return;
         }
-        if is_right {
+        if is_desired {
             target.state = SwapState::Claimed(now);
-            let faster = self.spacing.0 * 9 / 10;
-            self.spacing = Millis(faster);
+            let reduced_spacing = self.spacing.0 * 9 / 10;
+            self.spacing = Millis(reduced_spacing);
         } else {
             self.fail(name, SwapFailure::Failed, now, actions);
         }
     }
 
-    fn see(
+    fn observe(
         &mut self,
         name: &TargetName,
         version: WeightVersion,
         now: Millis,
         actions: &mut Vec<SwapAction>,
     ) {
-        let is_right = self.desired.as_ref() == Some(&version);
+        let is_desired = self.desired.as_ref() == Some(&version);
         let verify = self.rules.verify_ms;
         let Some(target) = self.targets.get_mut(name) else {
             return;
         };
-        target.seen = Some(version);
-        if is_right {
+        target.observed = Some(version);
+        if is_desired {
             target.state = SwapState::Current;
             target.failures = 0;
             if std::mem::take(&mut target.is_out) {
@@ -240,7 +247,7 @@
                 target.state = SwapState::Swapping(at);
                 self.fail(name, SwapFailure::Failed, now, actions);
             }
-            // The engine went back, as after a restart.
+            // The engine runs old weights again, for example after a restart.
             SwapState::Current => target.state = SwapState::Waiting(now),
             _ => {}
         }
@@ -263,15 +270,15 @@
         match why {
             SwapFailure::Fenced => target.state = SwapState::Waiting(now + rules.max_spacing_ms),
             SwapFailure::RateLimited => {
-                let slower = Millis(self.spacing.0 * 2).max(rules.min_spacing_ms);
-                self.spacing = slower.min(rules.max_spacing_ms);
+                let doubled_spacing = Millis(self.spacing.0 * 2).max(rules.initial_spacing_ms);
+                self.spacing = doubled_spacing.min(rules.max_spacing_ms);
                 self.next_at = now + self.spacing;
                 target.state = SwapState::Waiting(now + self.spacing);
             }
             SwapFailure::Failed => {
                 target.failures += 1;
                 if target.failures < rules.max_attempts {
-                    target.state = SwapState::Waiting(now + rules.min_spacing_ms);
+                    target.state = SwapState::Waiting(now + rules.initial_spacing_ms);
                     return;
                 }
                 target.state = SwapState::Out;
@@ -282,7 +289,7 @@
         }
     }
 
-    fn expire(&mut self, now: Millis, actions: &mut Vec<SwapAction>) {
+    fn time_out(&mut self, now: Millis, actions: &mut Vec<SwapAction>) {
         let timeout = self.rules.timeout_ms;
         let is_expired = |target: &Target| matches!(target.state, SwapState::Swapping(at) if now - at >= timeout);
         let expired = self.targets.iter().filter(|(_, target)| is_expired(target));
@@ -292,17 +299,17 @@
         }
     }
 
-    /// Starts as many swaps as headroom and the weight store's rate allow, least loaded first.
-    fn start(&mut self, now: Millis, actions: &mut Vec<SwapAction>) {
+    /// Starts as many swaps as `max_fraction` and the spacing allow, least loaded targets first.
+    fn start_swaps(&mut self, now: Millis, actions: &mut Vec<SwapAction>) {
         let Some(desired) = &self.desired else {
             return;
         };
         let swapping = self.targets.values();
         let swapping = swapping.filter(|target| matches!(target.state, SwapState::Swapping(_)));
-        let most = (self.targets.len() as f64 * self.rules.max_fraction)
+        let max_swapping = (self.targets.len() as f64 * self.rules.max_fraction)
             .floor()
             .max(1.0) as usize;
-        let mut free = most.saturating_sub(swapping.count());
+        let mut free = max_swapping.saturating_sub(swapping.count());
         let mut ready: Vec<_> = self
             .targets
             .iter_mut()
--- a/crates/godwitspool-rollout/src/tokens.rs
+++ b/crates/godwitspool-rollout/src/tokens.rs
@@ -1,8 +1,10 @@
-//! Tokens of an answer.
+//! A compact list of tokens.
 
 use serde::{Deserialize, Serialize};
 
-/// Tokens held as one text and the ends of the tokens in it: four bytes a token above the text.
+/// Tokens stored as one concatenated text plus the end offset of each token.
+///
+/// The overhead is four bytes per token.
 ///
 /// ```
 /// use godwitspool_rollout::Tokens;
@@ -23,22 +25,22 @@
         self.ends.push(self.text.len() as u32);
     }
 
-    /// Counts the tokens.
+    /// Returns the number of tokens.
     pub fn len(&self) -> usize {
         self.ends.len()
     }
 
-    /// Tells whether there is no token.
+    /// Returns `true` if there are no tokens.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// Returns the whole text.
+    /// Returns the concatenated text of all tokens.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Walks over the tokens.
+    /// Iterates over the tokens in order.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         let starts = std::iter::once(0).chain(self.ends.iter().copied());
         starts
@@ -46,12 +48,12 @@
             .map(|(start, end)| &self.text[start as usize..*end as usize])
     }
 
-    /// Returns the bytes held on the heap.
+    /// Returns the number of bytes allocated on the heap.
     pub fn bytes(&self) -> usize {
         self.text.capacity() + self.ends.capacity() * size_of::<u32>()
     }
 
-    /// Gives back memory that growth has reserved.
+    /// Releases unused capacity.
     pub fn shrink(&mut self) {
         self.text.shrink_to_fit();
         self.ends.shrink_to_fit();
--- a/crates/godwitspool-rollout/src/version_order.rs
+++ b/crates/godwitspool-rollout/src/version_order.rs
@@ -1,52 +1,57 @@
-//! The order in which the versions of a service's model were published.
+//! Publication order of a model's weight versions.
 
 use godwitspool_types::WeightVersion;
 use serde::{Deserialize, Serialize};
 
 use crate::Sample;
 
-const KEPT_VERSIONS: usize = 256;
+const MAX_VERSIONS: usize = 256;
 
-/// How a version or a sample stands to the staleness bound.
+/// Whether a version or a sample is within the staleness bound. Later variants are worse.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Freshness {
     /// Within the bound.
     Fresh {
-        /// Versions published since.
+        /// Number of versions published since.
         age: u32,
     },
-    /// A version that isn't known here: newer than the configuration read so far, or forgotten.
+    /// The version is not in the order: it is newer than the configuration read so far, or so old
+    /// that it was evicted.
     Unknown,
     /// Beyond the bound.
     TooOld {
-        /// Versions published since.
+        /// Number of versions published since.
         age: u32,
     },
 }
 
-/// Versions of one service's model in order of publication.
+/// The most recent 256 weight versions of one service's model, in order of publication.
 ///
-/// The owner keeps one for each qualified service, so that equal names in two fleets stay apart.
-/// A version that is published again counts from its last publication: a roll-back makes it new.
+/// The caller keeps one order for each qualified service, so that equal version names in two fleets
+/// are not confused. The age of a version counts from its last publication, so a version that is
+/// rolled back to becomes the newest one.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VersionOrder {
     versions: Vec<WeightVersion>,
 }
 
 impl VersionOrder {
-    /// Appends a version; the newest version again changes nothing.
+    /// Makes a version the newest one. Publishing the newest version again has no effect.
     pub fn publish(&mut self, version: &WeightVersion) {
         if self.versions.last() == Some(version) {
             return;
         }
         self.versions.retain(|old| old != version);
         self.versions.push(version.clone());
-        if self.versions.len() > KEPT_VERSIONS {
+        if self.versions.len() > MAX_VERSIONS {
             self.versions.remove(0);
         }
     }
 
-    /// Appends the versions that another order has after this one's newest.
+    /// Appends the versions that follow this order's newest one in another order.
+    ///
+    /// If the other order does not contain this order's newest version, all its versions are
+    /// appended, unless this order already contains the other one's newest version.
     pub fn catch_up(&mut self, other: &Self) {
         let newest = self.versions.last();
         let common = other
@@ -66,12 +71,12 @@
             .for_each(|version| self.publish(version));
     }
 
-    /// Returns the newest version.
+    /// Returns the newest version, or `None` if none was published.
     pub fn newest(&self) -> Option<&WeightVersion> {
         self.versions.last()
     }
 
-    /// Judges one version against a bound in versions.
+    /// Compares the age of one version with `bound`, the maximum number of newer versions.
     pub fn freshness(&self, version: &WeightVersion, bound: u32) -> Freshness {
         match self
             .versions
@@ -85,8 +90,9 @@
         }
     }
 
-    /// Judges a sample by the worst of its spans: the oldest version counts. While no version is
-    /// published there is nothing to lag behind.
+    /// Returns the freshness of a sample, which is the worst freshness of its spans.
+    ///
+    /// A sample is always fresh while no version is published.
     ///
     /// ```
     /// use godwitspool_rollout::{Freshness, Sample, SampleId, VersionOrder};
@@ -103,7 +109,7 @@
             return Freshness::Fresh { age: 0 };
         }
         let spans = sample.spans.iter();
-        let judged = spans.map(|span| self.freshness(&span.version, bound));
-        judged.max().unwrap_or(Freshness::Fresh { age: 0 })
+        let freshnesses = spans.map(|span| self.freshness(&span.version, bound));
+        freshnesses.max().unwrap_or(Freshness::Fresh { age: 0 })
     }
 }
--- a/crates/godwitspool-rollout/tests/policies.rs
+++ b/crates/godwitspool-rollout/tests/policies.rs
@@ -231,7 +231,7 @@
 #[test]
 fn remedies_stay_within_their_budget_and_the_room() {
     let mut stragglers = learnt(StragglerRules {
-        extra_work: 0.01,
+        max_extra_work: 0.01,
         ..StragglerRules::default()
     });
     let running: Vec<_> = (0..50).map(|index| attempt(index, 100, 0, 2_000)).collect();
