--- a/crates/godwitspool-rollout/src/reclaim.rs
+++ b/crates/godwitspool-rollout/src/reclaim.rs
@@ -84,8 +84,8 @@
 /// ```
 pub fn plan_reclaim(mut streams: Vec<ReclaimedStream>, budget: &ReclaimBudget) -> ReclaimPlan {
     let usable = budget.notice_ms - budget.margin_ms;
-    let export_rounds = usable.0 / budget.export_ms.0.max(1);
-    let mut exports = export_rounds * u64::from(budget.max_parallel);
+    let rounds = usable.0 / budget.export_ms.0.max(1);
+    let mut exports = rounds * u64::from(budget.max_parallel);
     let mut room = budget.room;
     streams.sort_by(|a, b| b.tokens.cmp(&a.tokens).then_with(|| a.id.cmp(&b.id)));
     let mut plan = ReclaimPlan::new();
--- a/crates/godwitspool-rollout/src/step/event.rs
+++ b/crates/godwitspool-rollout/src/step/event.rs
@@ -1,4 +1,4 @@
-//! What a trainer's steps are told and what they order.
+//! Events, actions and peer messages of a trainer's steps.
 
 use std::fmt;
 
@@ -8,12 +8,12 @@
 use super::{Answer, Image, Record, Request};
 use crate::{GroupSpec, Sample, SampleId, StepNumber};
 
-/// A tenure of a home. The greater one wins wherever two meet.
+/// Epoch of a home. If two hosts claim to be home, the one with the greater epoch wins.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Epoch {
-    /// Counts tenures.
+    /// Epoch number, increased at every takeover and change of replica.
     pub number: u64,
-    /// Host that is home.
+    /// Host that is home in this epoch. It breaks ties between equal numbers.
     pub host: HostName,
 }
 
@@ -23,136 +23,138 @@
     }
 }
 
-/// An event.
+/// An event for [`TrainerSteps`](super::TrainerSteps).
 #[derive(Clone, Debug)]
 pub enum StepEvent {
-    /// A sample is whole.
+    /// A sample was completed.
     Finished {
-        /// Generation named when it was started.
+        /// Generation from [`StepAction::Start`]. A sample of another generation is dropped.
         generation: u64,
-        /// The sample.
+        /// The complete sample.
         sample: Sample,
     },
-    /// A message of another host.
+    /// A message from another host.
     Peer {
-        /// Sender.
+        /// Host that sent the message.
         from: HostName,
-        /// Message.
+        /// The received message.
         message: PeerMessage,
     },
-    /// A version of the service's model was published.
+    /// A weight version of the service's model was published.
     Published(WeightVersion),
-    /// The live hosts in order of preference: home first.
+    /// The live hosts in the order of [`rank_hosts`](crate::rank_hosts): home first, then replica.
     Ranked(Vec<HostName>),
-    /// The trainer asks.
+    /// The trainer sent a request.
     Request {
-        /// Names the caller for the answer.
+        /// Identifies the caller; returned in [`StepAction::Answer`].
         reply: u64,
-        /// What it asks.
+        /// The received request.
         request: Request,
     },
     /// Time has passed.
     Tick,
 }
 
-/// An action that the owner carries out.
+/// An action for the caller of [`TrainerSteps::decide`](super::TrainerSteps::decide) to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StepAction {
-    /// Answers the trainer.
+    /// Sends an answer to the trainer.
     Answer {
-        /// Caller.
+        /// Caller from [`StepEvent::Request`].
         reply: u64,
-        /// Answer.
+        /// The answer to send.
         answer: Answer,
     },
-    /// Stops making a sample; its late end will be dropped.
+    /// Cancels a running sample. If it still completes, it is dropped.
     Cancel {
-        /// Sample.
+        /// The sample to cancel.
         id: SampleId,
     },
-    /// Counts a batch that was handed over, once for each step.
+    /// Counts an acknowledged batch, once for each step.
     Count(AcknowledgedBatch),
     /// Sends a message to another host.
     Send {
-        /// Receiver.
+        /// Host that receives the message.
         to: HostName,
-        /// Message.
+        /// The message to send.
         message: PeerMessage,
     },
-    /// Starts making a sample.
+    /// Starts generating a sample.
     Start {
-        /// Generation to name when it is whole.
+        /// Generation to return in [`StepEvent::Finished`].
         generation: u64,
-        /// Sample.
+        /// The sample to generate.
         id: SampleId,
-        /// Prompt and bound.
+        /// Prompt and token limit.
         spec: GroupSpec,
     },
 }
 
-/// A batch that a trainer has acknowledged.
+/// A batch that a trainer acknowledged.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AcknowledgedBatch {
-    /// Step.
+    /// The step that the batch completes.
     pub step: StepNumber,
-    /// Tokens of all its samples.
+    /// Number of answer tokens in all samples.
     pub tokens: u64,
 }
 
-/// A message between the hosts that keep a trainer's steps.
+/// A message between hosts that store, or may store, a trainer's steps.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerMessage {
-    /// Home to a former replica: forget the steps.
+    /// Home to former replica: drop the steps.
     Drop(Epoch),
-    /// Home to replica: become home.
+    /// Home to replica: become home if you hold all records.
     Handover {
-        /// Tenure that ends.
+        /// The epoch that ends.
         epoch: Epoch,
-        /// Last record of the tenure.
+        /// Sequence number of the last record of the epoch.
         sequence: u64,
     },
-    /// Replica to home: all records up to a sequence number are held.
+    /// Replica to home: confirms all records up to a sequence number.
     Held {
-        /// Tenure.
+        /// Epoch of the records.
         epoch: Epoch,
-        /// Sequence number.
+        /// Sequence number of the last record that the replica holds.
         sequence: u64,
     },
-    /// Home to replica: the whole state.
+    /// Home to replica: the state without samples, which follow as records.
     Image {
-        /// Tenure.
+        /// Epoch of the image.
         epoch: Epoch,
-        /// The state.
+        /// The state without samples.
         image: Box<Image>,
-        /// Last record that the state contains.
+        /// Sequence number of the image.
         sequence: u64,
-        /// Last record of its samples.
+        /// Sequence number of the last record that is needed to complete the image.
         whole: u64,
     },
-    /// A home to its replica: it has lost the steps of its tenure.
+    /// Restarted home to replica: the steps of this epoch are lost on the home, and the replica
+    /// takes over.
     Lost(Epoch),
-    /// From a home whose tenure has ended: what it accepted while it was cut off.
+    /// Former home to home: the state, without samples, that it accepted while the two were
+    /// partitioned.
     Merge(Box<Image>),
-    /// The home has taken that over.
+    /// Home to former home: confirms [`PeerMessage::Merge`].
     Merged,
-    /// Replica to home: records are missing, the whole state is wanted.
+    /// Answer to the home of this epoch: the sender lacks the state and requests an image.
     Missing(Epoch),
-    /// Asks whether the receiver holds the steps.
+    /// Asks whether the receiver is home or replica.
     Probe,
-    /// Answers a probe.
+    /// Answers [`PeerMessage::Probe`].
     Probed {
-        /// Tenure whose steps the sender holds.
+        /// Epoch whose steps the sender holds, or `None` if it holds none.
         holds: Option<Epoch>,
     },
-    /// Home to replica: records in their order.
+    /// Home to replica: consecutive records.
     Records {
-        /// Tenure.
+        /// Epoch of the records.
         epoch: Epoch,
-        /// Sequence number of the first one.
+        /// Sequence number of the first record.
         first: u64,
-        /// The records.
+        /// Records in sequence order.
         records: Vec<Record>,
     },
-    /// To a home whose tenure has ended.
+    /// Answer to a home whose epoch is outdated: the greater epoch that replaced it.
     Superseded(Epoch),
 }
--- a/crates/godwitspool-rollout/src/step/home.rs
+++ b/crates/godwitspool-rollout/src/step/home.rs
@@ -1,4 +1,4 @@
-//! How the home answers the trainer.
+//! Request handling and samples on the home.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::{Digest, Freshness, GroupSpec, Sample, SampleId, StepNumber};
 
 impl TrainerSteps {
-    pub(super) fn serve(
+    pub(super) fn handle_request(
         &mut self,
         reply: u64,
         request: Request,
@@ -22,13 +22,13 @@
             self.counts.refused += 1;
             let answer = Answer::Refused(Refusal::Moving(self.believed_home()));
             actions.push(StepAction::Answer { reply, answer });
-            self.probe(now, actions);
+            self.probe_holders(now, actions);
             return;
         }
-        let mut handed = None;
+        let mut acknowledged_batch = None;
         let answer = match request {
             Request::Acknowledge { digest, step } => {
-                handed = self.handed_over(step);
+                acknowledged_batch = self.batch_to_count(step);
                 self.acknowledge(step, digest, now, actions)
             }
             Request::Fetch { digest, page, step } => self.fetch(step, page, digest, now, actions),
@@ -40,7 +40,7 @@
             } => self.submit(step, total, groups, now, actions),
         };
         match answer {
-            Ok(answer) => self.answer_once_held(reply, answer, handed, actions),
+            Ok(answer) => self.answer_when_replicated(reply, answer, acknowledged_batch, actions),
             Err(refusal) => {
                 self.counts.refused += 1;
                 let answer = Answer::Refused(refusal);
@@ -49,9 +49,6 @@
         }
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // Requests
-
     fn submit(
         &mut self,
         step: StepNumber,
@@ -60,25 +57,25 @@
         now: Millis,
         actions: &mut Vec<StepAction>,
     ) -> Result<Answer, Refusal> {
-        self.check_done(step)?;
+        self.check_not_done(step)?;
         check_groups(total, &groups)?;
-        let fresh = self.new_groups(step, total, groups)?;
-        self.check_room(step, &fresh)?;
-        if !fresh.is_empty() {
+        let added = self.new_groups(step, total, groups)?;
+        self.check_capacity(step, &added)?;
+        if !added.is_empty() {
             let record = Record::Submitted {
-                groups: fresh.clone(),
+                groups: added.clone(),
                 step,
                 total,
             };
-            self.record(record, now, actions);
-            for spec in &fresh {
+            self.replicate(record, now, actions);
+            for spec in &added {
                 for index in 0..spec.samples {
-                    self.start(step, spec, index, actions);
+                    self.start_sample(step, spec, index, actions);
                 }
             }
         }
-        let held = self.image.step(step).ok_or(Refusal::UnknownStep)?;
-        Ok(Answer::Submitted(held.progress()))
+        let state = self.image.step(step).ok_or(Refusal::UnknownStep)?;
+        Ok(Answer::Submitted(state.progress()))
     }
 
     fn fetch(
@@ -89,14 +86,15 @@
         now: Millis,
         actions: &mut Vec<StepAction>,
     ) -> Result<Answer, Refusal> {
-        self.check_done(step)?;
-        self.freeze_if_whole(step, now, actions);
-        let held = self.image.step(step).ok_or(Refusal::UnknownStep)?;
-        let Stage::Frozen { batch, .. } = &held.stage else {
+        self.check_not_done(step)?;
+        self.freeze_if_complete(step, now, actions);
+        let state = self.image.step(step).ok_or(Refusal::UnknownStep)?;
+        let Stage::Frozen { batch, .. } = &state.stage else {
             return match digest {
-                // The trainer began at another home: what it has is no part of this one's batch.
+                // The trainer has pages from another home, which do not belong to this home's
+                // batch.
                 Some(_) => Err(Refusal::WrongBatch(Digest::default())),
-                None => Ok(Answer::Waiting(held.progress())),
+                None => Ok(Answer::Waiting(state.progress())),
             };
         };
         if digest.is_some_and(|digest| digest != batch.digest) {
@@ -106,8 +104,9 @@
         page.map(Answer::Page).ok_or(Refusal::NoSuchPage)
     }
 
-    /// Returns what an acknowledgment hands over; nothing for a step that isn't held frozen.
-    fn handed_over(&self, step: StepNumber) -> Option<AcknowledgedBatch> {
+    /// Returns the batch to count when it is acknowledged, or `None` if the step is not frozen
+    /// here.
+    fn batch_to_count(&self, step: StepNumber) -> Option<AcknowledgedBatch> {
         let Stage::Frozen { batch, .. } = &self.image.step(step)?.stage else {
             return None;
         };
@@ -129,11 +128,12 @@
         if let Some(known) = self.image.acknowledged(step) {
             return Ok(Answer::Acknowledged(known));
         }
-        self.check_done(step)?;
+        self.check_not_done(step)?;
         self.image.step(step).ok_or(Refusal::UnknownStep)?;
-        // The trainer is the arbiter: it holds a whole batch, even if another home made it.
-        self.stop(step, Some(step), actions);
-        self.record(Record::Acknowledged(step, digest), now, actions);
+        // The trainer already holds a complete batch, so its digest is accepted even if another
+        // home produced the batch.
+        self.cancel_samples(step, Some(step), actions);
+        self.replicate(Record::Acknowledged(step, digest), now, actions);
         self.counts.acknowledged += 1;
         Ok(Answer::Acknowledged(digest))
     }
@@ -150,13 +150,13 @@
             return Err(Refusal::Invalid(format!("the next rewind is {}", done + 1)));
         }
         if number == done + 1 {
-            self.stop(step, None, actions);
-            self.record(Record::Rewound(step), now, actions);
+            self.cancel_samples(step, None, actions);
+            self.replicate(Record::Rewound(step), now, actions);
         }
         Ok(Answer::Rewound)
     }
 
-    fn check_done(&self, step: StepNumber) -> Result<(), Refusal> {
+    fn check_not_done(&self, step: StepNumber) -> Result<(), Refusal> {
         if let Some(digest) = self.image.acknowledged(step) {
             return Err(Refusal::Acknowledged(digest));
         }
@@ -172,31 +172,32 @@
         total: u32,
         groups: Vec<GroupSpec>,
     ) -> Result<Vec<GroupSpec>, Refusal> {
-        let Some(held) = self.image.step(step) else {
+        let Some(state) = self.image.step(step) else {
             return Ok(groups);
         };
-        if held.total != total {
-            return Err(Refusal::Conflict(held.total));
+        if state.total != total {
+            return Err(Refusal::Conflict(state.total));
         }
-        let mut fresh = Vec::new();
+        let mut added = Vec::new();
         for spec in groups {
-            match held.specs.get(&spec.group) {
-                None => fresh.push(spec),
+            match state.specs.get(&spec.group) {
+                None => added.push(spec),
                 Some(known) if *known == spec_hash(&spec) => {}
                 Some(_) => return Err(Refusal::Conflict(spec.group)),
             }
         }
-        Ok(fresh)
+        Ok(added)
     }
 
-    fn check_room(&self, step: StepNumber, fresh: &[GroupSpec]) -> Result<(), Refusal> {
-        let more: u32 = fresh.iter().map(|spec| spec.samples).sum();
+    fn check_capacity(&self, step: StepNumber, added: &[GroupSpec]) -> Result<(), Refusal> {
+        let more: u32 = added.iter().map(|spec| spec.samples).sum();
         let own = self
             .image
             .step(step)
-            .map_or(0, |held| held.progress().samples);
-        // The oldest step only counts against the bound by its own size, so that it can get whole.
-        let is_oldest = self.image.oldest().is_none_or(|oldest| step <= oldest);
+            .map_or(0, |state| state.progress().samples);
+        // Only its own samples count against the limit of the oldest step, so that it can always be
+        // completed.
+        let is_oldest = self.image.oldest_step().is_none_or(|oldest| step <= oldest);
         let waiting = if is_oldest { own } else { self.image.waiting() };
         let bound = self.rules.max_open_samples;
         if more > 0 && waiting.saturating_add(more) > bound {
@@ -205,10 +206,7 @@
         Ok(())
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // Samples
-
-    pub(super) fn take_sample(
+    pub(super) fn finish_sample(
         &mut self,
         generation: u64,
         mut sample: Sample,
@@ -223,10 +221,10 @@
         sample.tokens.shrink();
         let id = sample.id.clone();
         if self.is_too_old(&sample) || !sample.is_consistent() {
-            self.remake(&id, actions);
+            self.restart_sample(&id, actions);
             return;
         }
-        self.record(Record::Finished(Arc::new(sample)), now, actions);
+        self.replicate(Record::Finished(Arc::new(sample)), now, actions);
     }
 
     pub(super) fn publish(
@@ -235,12 +233,12 @@
         now: Millis,
         actions: &mut Vec<StepAction>,
     ) {
-        self.known.publish(&version);
+        self.versions.publish(&version);
         if !self.is_home() || self.image.order().newest() == Some(&version) {
             return;
         }
-        self.record(Record::Published(version), now, actions);
-        let steps: Vec<_> = self.image.open().map(|(step, _)| step).collect();
+        self.replicate(Record::Published(version), now, actions);
+        let steps: Vec<_> = self.image.open_steps().map(|(step, _)| step).collect();
         for step in steps {
             self.discard_stale(step, now, actions);
         }
@@ -254,53 +252,57 @@
         matches!(judged, Freshness::TooOld { .. })
     }
 
-    fn freeze_if_whole(&mut self, step: StepNumber, now: Millis, actions: &mut Vec<StepAction>) {
-        let is_open = |steps: &Self| {
-            let held = steps.image.step(step);
-            held.is_some_and(|held| {
-                matches!(held.stage, Stage::Open(_)) && held.progress().is_complete()
+    fn freeze_if_complete(&mut self, step: StepNumber, now: Millis, actions: &mut Vec<StepAction>) {
+        let can_freeze = |steps: &Self| {
+            let state = steps.image.step(step);
+            state.is_some_and(|state| {
+                matches!(state.stage, Stage::Open(_)) && state.progress().is_complete()
             })
         };
-        if !is_open(self) {
+        if !can_freeze(self) {
             return;
         }
         let has_unknown = self.discard_stale(step, now, actions);
-        if !has_unknown && is_open(self) {
+        if !has_unknown && can_freeze(self) {
             self.unknown_since.remove(&step);
             self.counts.frozen += 1;
-            self.record(Record::Frozen(step), now, actions);
+            self.replicate(Record::Frozen(step), now, actions);
         }
     }
 
-    /// Has samples that are too old made again; tells whether versions are unknown that may yet
-    /// turn out to be new ones.
+    /// Discards and restarts samples that are too old.
+    ///
+    /// Returns `true` if samples with an unknown version remain that may still turn out to be
+    /// fresh. After [`unknown_timeout_ms`](crate::StepRules::unknown_timeout_ms) these are
+    /// restarted too.
     fn discard_stale(
         &mut self,
         step: StepNumber,
         now: Millis,
         actions: &mut Vec<StepAction>,
     ) -> bool {
-        let (old, unknown) = self.judge_step(step);
+        let (old, unknown) = self.stale_samples(step);
         let since = *self.unknown_since.entry(step).or_insert(now);
-        let is_patient = now - since < self.rules.unknown_timeout_ms;
-        if unknown.is_empty() || !is_patient {
+        let is_within_timeout = now - since < self.rules.unknown_timeout_ms;
+        if unknown.is_empty() || !is_within_timeout {
             self.unknown_since.remove(&step);
         }
-        let discarded = if is_patient {
+        let discarded = if is_within_timeout {
             old
         } else {
             [old, unknown.clone()].concat()
         };
         for id in discarded {
-            self.record(Record::Discarded(id.clone()), now, actions);
-            self.remake(&id, actions);
+            self.replicate(Record::Discarded(id.clone()), now, actions);
+            self.restart_sample(&id, actions);
         }
-        is_patient && !unknown.is_empty()
+        is_within_timeout && !unknown.is_empty()
     }
 
-    fn judge_step(&self, step: StepNumber) -> (Vec<SampleId>, Vec<SampleId>) {
+    /// Returns the samples of an open step that are too old, and those with an unknown version.
+    fn stale_samples(&self, step: StepNumber) -> (Vec<SampleId>, Vec<SampleId>) {
         let (mut old, mut unknown) = (Vec::new(), Vec::new());
-        let open = self.image.step(step).map(|held| &held.stage);
+        let open = self.image.step(step).map(|state| &state.stage);
         if let Some(Stage::Open(groups)) = open {
             for sample in groups
                 .values()
@@ -320,18 +322,18 @@
         (old, unknown)
     }
 
-    fn remake(&mut self, id: &SampleId, actions: &mut Vec<StepAction>) {
+    fn restart_sample(&mut self, id: &SampleId, actions: &mut Vec<StepAction>) {
         self.counts.remade += 1;
-        let spec = match self.image.step(id.step).map(|held| &held.stage) {
+        let spec = match self.image.step(id.step).map(|state| &state.stage) {
             Some(Stage::Open(groups)) => groups.get(&id.group).map(|group| group.spec.clone()),
             _ => None,
         };
         if let Some(spec) = spec {
-            self.start(id.step, &spec, id.index, actions);
+            self.start_sample(id.step, &spec, id.index, actions);
         }
     }
 
-    pub(super) fn start(
+    pub(super) fn start_sample(
         &mut self,
         step: StepNumber,
         spec: &GroupSpec,
@@ -353,8 +355,14 @@
         });
     }
 
-    /// Stops the samples of the steps from `first` to `last`, or of all from `first` on.
-    fn stop(&mut self, first: StepNumber, last: Option<StepNumber>, actions: &mut Vec<StepAction>) {
+    /// Cancels the running samples of the steps from `first` to `last`, or of all steps from
+    /// `first` on.
+    fn cancel_samples(
+        &mut self,
+        first: StepNumber,
+        last: Option<StepNumber>,
+        actions: &mut Vec<StepAction>,
+    ) {
         self.running.retain(|id, _| {
             let stops = id.step >= first && last.is_none_or(|last| id.step <= last);
             if stops {
@@ -364,22 +372,23 @@
         });
     }
 
-    fn answer_once_held(
+    /// Queues an answer until the replica has confirmed all records so far.
+    fn answer_when_replicated(
         &mut self,
         reply: u64,
         answer: Answer,
-        handed: Option<AcknowledgedBatch>,
+        acknowledged_batch: Option<AcknowledgedBatch>,
         actions: &mut Vec<StepAction>,
     ) {
         if let Role::Home(home) = &mut self.role {
             home.pending.push(Pending {
                 answer,
-                handed,
+                acknowledged_batch,
                 reply,
                 sequence: home.sequence,
             });
         }
-        self.release(actions);
+        self.release_answers(actions);
     }
 }
 
--- a/crates/godwitspool-rollout/src/step/image.rs
+++ b/crates/godwitspool-rollout/src/step/image.rs
@@ -1,4 +1,4 @@
-//! The replicated state of a trainer's steps, and the records that change it.
+//! The replicated state of a trainer's steps and the records that change it.
 
 use std::{
     collections::{BTreeMap, btree_map::Entry},
@@ -12,51 +12,55 @@
 use super::Progress;
 use crate::{Batch, Digest, GroupSpec, Sample, SampleId, StepNumber, VersionOrder};
 
-const KEPT_ACKNOWLEDGED: usize = 1_024;
+/// Older acknowledgments are forgotten, and requests for their steps are refused as gone.
+const MAX_ACKNOWLEDGED: usize = 1_024;
 
-/// A change of the state. Applying the same records in the same order gives the same state.
+/// A state change. Applying the same records in the same order results in the same state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Record {
-    /// The trainer holds the step's batch.
+    /// The trainer acknowledged the step's batch with this digest.
     Acknowledged(StepNumber, Digest),
-    /// A whole sample was too old and is made again.
+    /// A complete sample was too old and is generated again.
     Discarded(SampleId),
-    /// A sample is whole.
+    /// A sample was completed.
     Finished(Arc<Sample>),
-    /// The step's batch is fixed.
+    /// The step was completed and its batch can no longer change.
     Frozen(StepNumber),
-    /// What another home accepted while the two were cut off from each other.
+    /// The state that another home accepted during a network partition, to be merged into this one.
     Merged(Box<Image>),
-    /// A version was published.
+    /// A weight version was published.
     Published(WeightVersion),
-    /// A step and all after it are forgotten.
+    /// This step and all later ones were removed because the trainer rewound.
     Rewound(StepNumber),
     /// Groups were submitted.
     Submitted {
-        /// The groups.
+        /// Groups that were not submitted before.
         groups: Vec<GroupSpec>,
-        /// Step.
+        /// The step that the groups belong to.
         step: StepNumber,
-        /// Groups that the whole step has.
+        /// Number of groups in the complete step.
         total: u32,
     },
 }
 
-/// The steps of a trainer.
+/// The replicated state of a trainer: its open and frozen steps and its recent acknowledgments.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Image {
     acknowledged: BTreeMap<StepNumber, Digest>,
+    /// Acknowledgments of steps before this one have been forgotten.
     gone_below: StepNumber,
     order: VersionOrder,
     rewinds: u64,
     steps: BTreeMap<StepNumber, Step>,
 }
 
-/// A step that is not acknowledged.
+/// A step that is not acknowledged yet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(crate) struct Step {
+    /// Hash of each submitted group, by group number.
     pub(crate) specs: BTreeMap<u32, u64>,
     pub(crate) stage: Stage,
+    /// Number of groups in the complete step.
     pub(crate) total: u32,
 }
 
@@ -73,7 +77,7 @@
 }
 
 impl Record {
-    /// Returns about how many bytes the record takes in a message.
+    /// Returns the approximate size of the record in a message.
     pub(crate) fn bytes(&self) -> usize {
         let payload = match self {
             Self::Finished(sample) => sample.bytes(),
@@ -85,29 +89,30 @@
 }
 
 impl Image {
-    /// Returns the order of the versions.
+    /// Returns the publication order of the weight versions.
     pub fn order(&self) -> &VersionOrder {
         &self.order
     }
 
-    /// Walks over the steps that aren't acknowledged, with their progress.
+    /// Iterates over the steps that are not acknowledged, with their progress.
     pub fn progress(&self) -> impl Iterator<Item = (StepNumber, Progress)> {
         self.steps
             .iter()
-            .map(|(step, held)| (*step, held.progress()))
+            .map(|(step, state)| (*step, state.progress()))
     }
 
-    /// Returns the digest under which a step was acknowledged.
+    /// Returns the digest with which a step was acknowledged, or `None` if it was not, or was so
+    /// long ago that the acknowledgment is forgotten.
     pub fn acknowledged(&self, step: StepNumber) -> Option<Digest> {
         self.acknowledged.get(&step).copied()
     }
 
-    /// Counts the trainer's rewinds.
+    /// Returns the number of rewinds so far.
     pub fn rewinds(&self) -> u64 {
         self.rewinds
     }
 
-    /// Returns a sample that is whole and not yet acknowledged.
+    /// Returns a complete sample of a step that is not acknowledged yet.
     pub fn sample(&self, id: &SampleId) -> Option<&Arc<Sample>> {
         match &self.steps.get(&id.step)?.stage {
             Stage::Frozen { batch, .. } => batch.samples.iter().find(|sample| sample.id == *id),
@@ -119,7 +124,7 @@
         }
     }
 
-    /// Counts the samples in steps that aren't acknowledged.
+    /// Returns the number of samples in steps that are not acknowledged, complete or not.
     pub fn waiting(&self) -> u32 {
         self.steps
             .values()
@@ -127,31 +132,32 @@
             .sum()
     }
 
-    /// Returns the bytes of prompts and samples.
+    /// Returns the approximate memory size of all prompts and samples in bytes.
     pub fn bytes(&self) -> usize {
         self.steps.values().map(Step::bytes).sum()
     }
 
-    /// Returns the state with all steps open and no sample whole.
+    /// Returns a copy in which all steps are open and have no complete samples.
     pub(crate) fn without_samples(&self) -> Self {
         let mut image = self.clone();
-        image.steps.values_mut().for_each(Step::forget_samples);
+        image.steps.values_mut().for_each(Step::clear_samples);
         image
     }
 
-    /// Returns the records that lead from the state without samples to this one.
+    /// Returns the records that turn [`without_samples`](Self::without_samples) into this state.
     pub(crate) fn sample_records(&self) -> impl Iterator<Item = Record> {
-        self.steps.iter().flat_map(|(step, held)| {
+        self.steps.iter().flat_map(|(step, state)| {
             let frozen =
-                matches!(held.stage, Stage::Frozen { .. }).then_some(Record::Frozen(*step));
-            held.samples()
+                matches!(state.stage, Stage::Frozen { .. }).then_some(Record::Frozen(*step));
+            state
+                .samples()
                 .into_iter()
                 .map(Record::Finished)
                 .chain(frozen)
         })
     }
 
-    /// Returns the oldest step that is remembered when `step` is older than that.
+    /// Returns the oldest step that is still remembered if `step` is older than that.
     pub(crate) fn gone(&self, step: StepNumber) -> Option<StepNumber> {
         (step < self.gone_below).then_some(self.gone_below)
     }
@@ -160,14 +166,14 @@
         self.steps.get(&step)
     }
 
-    pub(crate) fn oldest(&self) -> Option<StepNumber> {
+    pub(crate) fn oldest_step(&self) -> Option<StepNumber> {
         self.steps.keys().next().copied()
     }
 
-    pub(crate) fn open(&self) -> impl Iterator<Item = (StepNumber, &BTreeMap<u32, Group>)> {
+    pub(crate) fn open_steps(&self) -> impl Iterator<Item = (StepNumber, &BTreeMap<u32, Group>)> {
         self.steps
             .iter()
-            .filter_map(|(step, held)| match &held.stage {
+            .filter_map(|(step, state)| match &state.stage {
                 Stage::Open(groups) => Some((*step, groups)),
                 Stage::Frozen { .. } => None,
             })
@@ -177,15 +183,14 @@
         self.order.catch_up(order);
     }
 
-    /// Applies a record.
     pub(crate) fn apply(&mut self, record: &Record) {
         match record {
             Record::Acknowledged(step, digest) => self.acknowledge(*step, *digest),
-            Record::Discarded(id) => self.set(id, None),
-            Record::Finished(sample) => self.set(&sample.id, Some(Arc::clone(sample))),
+            Record::Discarded(id) => self.set_sample(id, None),
+            Record::Finished(sample) => self.set_sample(&sample.id, Some(Arc::clone(sample))),
             Record::Frozen(step) => {
-                if let Some(held) = self.steps.get_mut(step) {
-                    held.freeze();
+                if let Some(state) = self.steps.get_mut(step) {
+                    state.freeze();
                 }
             }
             Record::Merged(image) => self.merge(image),
@@ -204,7 +209,9 @@
         }
     }
 
-    /// Takes over steps that are unknown here, and what the trainer acknowledged elsewhere.
+    /// Adds the steps and acknowledgments of another home that are unknown here.
+    ///
+    /// Does nothing if the number of rewinds differs, because then the steps are not comparable.
     fn merge(&mut self, other: &Self) {
         if other.rewinds != self.rewinds {
             return;
@@ -214,9 +221,9 @@
                 self.acknowledge(*step, *digest);
             }
         }
-        for (step, held) in &other.steps {
+        for (step, state) in &other.steps {
             if self.acknowledged(*step).is_none() && self.gone(*step).is_none() {
-                self.steps.entry(*step).or_insert_with(|| held.clone());
+                self.steps.entry(*step).or_insert_with(|| state.clone());
             }
         }
         let mut order = other.order.clone();
@@ -227,31 +234,31 @@
     fn acknowledge(&mut self, step: StepNumber, digest: Digest) {
         self.steps.remove(&step);
         self.acknowledged.insert(step, digest);
-        while self.acknowledged.len() > KEPT_ACKNOWLEDGED {
+        while self.acknowledged.len() > MAX_ACKNOWLEDGED {
             if let Some((oldest, _)) = self.acknowledged.pop_first() {
                 self.gone_below = self.gone_below.max(StepNumber(oldest.0 + 1));
             }
         }
     }
 
-    fn set(&mut self, id: &SampleId, sample: Option<Arc<Sample>>) {
+    fn set_sample(&mut self, id: &SampleId, sample: Option<Arc<Sample>>) {
         if let Some(slot) = self.steps.get_mut(&id.step).and_then(|step| step.slot(id)) {
             *slot = sample;
         }
     }
 
     fn submit(&mut self, step: StepNumber, total: u32, groups: &[GroupSpec]) {
-        let held = self.steps.entry(step).or_insert_with(|| Step {
+        let state = self.steps.entry(step).or_insert_with(|| Step {
             specs: BTreeMap::new(),
             stage: Stage::Open(BTreeMap::new()),
             total,
         });
-        let Stage::Open(open) = &mut held.stage else {
+        let Stage::Open(open) = &mut state.stage else {
             return;
         };
         for spec in groups {
             if let Entry::Vacant(entry) = open.entry(spec.group) {
-                held.specs.insert(spec.group, spec_hash(spec));
+                state.specs.insert(spec.group, spec_hash(spec));
                 entry.insert(Group::new(spec.clone()));
             }
         }
@@ -317,7 +324,7 @@
         }
     }
 
-    fn forget_samples(&mut self) {
+    fn clear_samples(&mut self) {
         match &mut self.stage {
             Stage::Frozen { specs, .. } => {
                 let groups = std::mem::take(specs).into_iter();
@@ -346,7 +353,8 @@
     }
 }
 
-/// Hashes a group's contents, to tell the same group from another one under its number.
+/// Hashes the contents of a group, to detect whether a number is submitted again with other
+/// contents.
 pub(crate) fn spec_hash(spec: &GroupSpec) -> u64 {
     let mut text = format!("{}\0{}\0", spec.samples, spec.max_tokens);
     for message in spec.messages.iter() {
--- a/crates/godwitspool-rollout/src/step/mod.rs
+++ b/crates/godwitspool-rollout/src/step/mod.rs
@@ -1,8 +1,9 @@
-//! A trainer's steps on the hosts that keep them.
+//! Replicated storage of a trainer's steps.
 //!
-//! The home answers the trainer; a replica holds every record that an answer rests on before the
-//! answer is given. The split of work: `home` decides requests, `replication` moves records,
-//! `role` decides which host is home, `image` is the replicated state itself.
+//! Two hosts store the steps of a trainer. The home is the primary and answers the trainer. The
+//! replica confirms every record that an answer depends on before the home sends the answer. The
+//! submodules: `home` handles requests, `replication` sends records and images, `role` selects the
+//! home and the replica, and `image` contains the replicated state.
 
 mod event;
 mod home;
@@ -21,16 +22,19 @@
 
 use crate::{SampleId, StepNumber, VersionOrder};
 
-/// Bounds of a trainer's steps.
+/// Limits for a trainer's steps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StepRules {
-    /// Samples that may wait in steps that aren't acknowledged; one step is always admitted.
+    /// Maximum number of samples in steps that are not acknowledged. For the oldest step, only its
+    /// own samples count.
     pub max_open_samples: u32,
-    /// Samples on a page.
+    /// Maximum number of samples on a page of a batch.
     pub page_samples: usize,
-    /// Versions that a sample may lag behind when the batch is frozen.
+    /// Number of weight versions that a sample may be behind the newest one when its batch is
+    /// frozen.
     pub staleness_versions: u32,
-    /// Time for which a sample with an unknown version is held back before it is made again.
+    /// Time for which samples with an unknown version delay the batch before they are generated
+    /// again.
     pub unknown_timeout_ms: Millis,
 }
 
@@ -45,24 +49,25 @@
     }
 }
 
-/// Counts what happened, for metrics.
+/// Counters for metrics, since the start of this host.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StepCounts {
-    /// Late or duplicate ends of samples that were dropped.
+    /// Late or duplicate samples that were dropped.
     pub dropped: u64,
-    /// Batches frozen.
+    /// Batches that this host froze.
     pub frozen: u64,
-    /// Batches acknowledged.
+    /// Batches that a trainer acknowledged to this host.
     pub acknowledged: u64,
-    /// Samples made again because they were too old.
+    /// Samples that were generated again because they were too old, inconsistent or of an unknown
+    /// version.
     pub remade: u64,
-    /// Requests refused.
+    /// Requests that this host refused.
     pub refused: u64,
-    /// Times this host became home.
+    /// Number of times this host became home.
     pub takeovers: u64,
 }
 
-/// The steps of one trainer on one host.
+/// The state of one trainer's steps on one host, as home, replica or neither.
 #[derive(Debug)]
 pub struct TrainerSteps {
     counts: StepCounts,
@@ -70,14 +75,17 @@
     generation: u64,
     host: HostName,
     image: Image,
-    known: VersionOrder,
+    /// Versions published so far, also while this host is not home.
+    versions: VersionOrder,
     ranked: Vec<HostName>,
     role: Role,
     rules: StepRules,
+    /// Generation of each running sample.
     running: BTreeMap<SampleId, u64>,
     trainer: TrainerName,
+    /// When samples with an unknown version were first found in a step.
     unknown_since: BTreeMap<StepNumber, Millis>,
-    /// What this host accepted as home and the present home may not know.
+    /// State that this host accepted as home and that the current home may not have.
     unmerged: Option<Box<Image>>,
 }
 
@@ -85,31 +93,39 @@
 enum Role {
     Home(Home),
     Idle {
-        silent: Option<Vec<HostName>>,
+        /// Hosts that have not answered a probe yet, or `None` while no probe is in progress.
+        unanswered: Option<Vec<HostName>>,
     },
     Replica {
+        /// Sequence number of the last applied record.
         sequence: u64,
-        /// The last whole state, to go back to when the home dies before the next one is whole. The
-        /// home answers nothing in between.
-        shadow: Option<Box<Image>>,
-        /// Sequence number from which on the state is whole.
-        whole: u64,
+        /// The last complete state, restored if the home fails before the current one is complete.
+        /// The home answers no request in between.
+        last_complete: Option<Box<Image>>,
+        /// Sequence number from which the state is complete.
+        complete_at: u64,
     },
 }
 
 #[derive(Debug, Default)]
 struct Home {
-    former: Vec<HostName>,
+    /// Hosts to be told to drop the steps once the current replica has confirmed its image.
+    former_replicas: Vec<HostName>,
+    /// Answers that wait for a confirmation of the replica.
     pending: Vec<Pending>,
     replica: Option<Replica>,
+    /// Sequence number of the last record.
     sequence: u64,
-    unheld: VecDeque<Record>,
+    /// Records that the replica has not confirmed, up to `sequence`.
+    unconfirmed: VecDeque<Record>,
 }
 
 #[derive(Debug)]
 struct Replica {
-    held: Option<u64>,
+    /// Last confirmed sequence number, or `None` until the image is confirmed.
+    confirmed: Option<u64>,
     host: HostName,
+    /// Last sequence number that was sent.
     sent: u64,
     sent_at: Millis,
 }
@@ -117,14 +133,15 @@
 #[derive(Debug)]
 struct Pending {
     answer: Answer,
-    /// What is counted once the answer is given.
-    handed: Option<AcknowledgedBatch>,
+    /// Batch to count when the answer is sent.
+    acknowledged_batch: Option<AcknowledgedBatch>,
     reply: u64,
+    /// Sequence number that the replica must confirm first.
     sequence: u64,
 }
 
 impl TrainerSteps {
-    /// Creates the state of a host that holds nothing yet.
+    /// Creates the state of a host that holds no steps yet.
     ///
     /// ```
     /// use godwitspool_rollout::{StepEvent, StepRules, TrainerSteps};
@@ -141,9 +158,9 @@
             generation: 0,
             host,
             image: Image::default(),
-            known: VersionOrder::default(),
+            versions: VersionOrder::default(),
             ranked: Vec::new(),
-            role: Role::Idle { silent: None },
+            role: Role::Idle { unanswered: None },
             rules,
             running: BTreeMap::new(),
             trainer,
@@ -152,55 +169,58 @@
         }
     }
 
-    /// Decides what follows from an event.
+    /// Applies an event and returns the resulting actions.
     pub fn decide(&mut self, event: StepEvent, now: Millis) -> Vec<StepAction> {
         let mut actions = Vec::new();
         match event {
             StepEvent::Finished { generation, sample } => {
-                self.take_sample(generation, sample, now, &mut actions);
+                self.finish_sample(generation, sample, now, &mut actions);
+            }
+            StepEvent::Peer { from, message } => {
+                self.handle_peer_message(from, message, now, &mut actions)
             }
-            StepEvent::Peer { from, message } => self.hear(from, message, now, &mut actions),
             StepEvent::Published(version) => self.publish(version, now, &mut actions),
-            StepEvent::Ranked(ranked) => self.rank(ranked, now, &mut actions),
+            StepEvent::Ranked(ranked) => self.update_ranking(ranked, now, &mut actions),
             StepEvent::Request { reply, request } => {
-                self.serve(reply, request, now, &mut actions);
+                self.handle_request(reply, request, now, &mut actions);
             }
             StepEvent::Tick => self.resend(now, &mut actions),
         }
         actions
     }
 
-    /// Tells whether this host answers the trainer.
+    /// Returns `true` if this host is home, that is, if it answers the trainer.
     pub fn is_home(&self) -> bool {
         matches!(self.role, Role::Home(_))
     }
 
-    /// Tells whether this host holds the steps for the home.
+    /// Returns `true` if this host is a replica.
     pub fn is_replica(&self) -> bool {
         matches!(self.role, Role::Replica { .. })
     }
 
-    /// Returns the replicated state.
+    /// Returns the replicated state. It is empty if this host is neither home nor replica.
     pub fn image(&self) -> &Image {
         &self.image
     }
 
-    /// Returns the tenure that this host knows of.
+    /// Returns the epoch in which this host is home or replica, or for which it stepped down.
     pub fn epoch(&self) -> &Epoch {
         &self.epoch
     }
 
-    /// Returns the counts.
+    /// Returns the counters for metrics.
     pub fn counts(&self) -> StepCounts {
         self.counts
     }
 
-    /// Changes the bounds; what was accepted stays accepted.
+    /// Changes the limits. Groups that were already accepted are kept.
     pub fn set_rules(&mut self, rules: StepRules) {
         self.rules = rules;
     }
 
-    /// Returns the generation under which a sample is being made, if it is.
+    /// Returns the generation of a running sample, or `None` if the sample is not running on this
+    /// host.
     pub fn generation(&self, id: &SampleId) -> Option<u64> {
         self.running.get(id).copied()
     }
--- a/crates/godwitspool-rollout/src/step/replication.rs
+++ b/crates/godwitspool-rollout/src/step/replication.rs
@@ -1,63 +1,67 @@
-//! How records reach the replica.
+//! Replication of records and messages between hosts.
 
 use godwitspool_types::{HostName, Millis};
 
 use super::{Epoch, Image, PeerMessage, Record, Role, StepAction, TrainerSteps};
 
-const RESEND_MS: Millis = Millis(500);
-const MOST_MESSAGE_BYTES: usize = 256 << 10;
-const MOST_UNCONFIRMED: u64 = 1_024;
+/// Time after which unconfirmed records are sent again.
+const RESEND_INTERVAL: Millis = Millis(500);
+/// Approximate maximum size of the records in one message.
+const MAX_MESSAGE_BYTES: usize = 256 << 10;
+const MAX_UNCONFIRMED_RECORDS: u64 = 1_024;
 
 impl TrainerSteps {
-    // -----------------------------------------------------------------------------------------------
-    // Home's side
-
-    /// Applies a record and sends it to the replica.
-    pub(super) fn record(&mut self, record: Record, now: Millis, actions: &mut Vec<StepAction>) {
+    /// Applies a record locally and sends it to the replica.
+    pub(super) fn replicate(&mut self, record: Record, now: Millis, actions: &mut Vec<StepAction>) {
         self.image.apply(&record);
         if let Role::Home(home) = &mut self.role {
             home.sequence += 1;
             if home.replica.is_some() {
-                home.unheld.push_back(record);
+                home.unconfirmed.push_back(record);
             }
         }
-        self.pump(now, actions);
+        self.send_records(now, actions);
     }
 
-    /// Gives the answers whose records the replica holds.
-    pub(super) fn release(&mut self, actions: &mut Vec<StepAction>) {
+    /// Sends the pending answers whose records the replica has confirmed.
+    ///
+    /// Without a replica, all pending answers are sent.
+    pub(super) fn release_answers(&mut self, actions: &mut Vec<StepAction>) {
         let Role::Home(home) = &mut self.role else {
             return;
         };
-        let held = match &home.replica {
-            Some(replica) => replica.held,
+        let confirmed = match &home.replica {
+            Some(replica) => replica.confirmed,
             None => Some(u64::MAX),
         };
-        let ready = |sequence: u64| held.is_some_and(|held| held >= sequence);
+        let is_ready = |sequence: u64| confirmed.is_some_and(|confirmed| confirmed >= sequence);
         for pending in home
             .pending
-            .extract_if(.., |pending| ready(pending.sequence))
+            .extract_if(.., |pending| is_ready(pending.sequence))
         {
-            actions.extend(pending.handed.map(StepAction::Count));
+            actions.extend(pending.acknowledged_batch.map(StepAction::Count));
             let (reply, answer) = (pending.reply, pending.answer);
             actions.push(StepAction::Answer { reply, answer });
         }
     }
 
-    /// Sends records that were not sent yet, as far as the unconfirmed ones leave room.
-    fn pump(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
+    /// Sends new records to the replica, up to [`MAX_UNCONFIRMED_RECORDS`] unconfirmed ones.
+    fn send_records(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
         let Role::Home(home) = &mut self.role else {
             return;
         };
         let Some(replica) = &mut home.replica else {
             return;
         };
-        let Some(held) = replica.held else {
+        let Some(confirmed) = replica.confirmed else {
             return;
         };
-        while replica.sent < home.sequence && replica.sent - held < MOST_UNCONFIRMED {
-            let unsent = home.unheld.iter().skip((replica.sent - held) as usize);
-            let records = message_of(unsent);
+        while replica.sent < home.sequence && replica.sent - confirmed < MAX_UNCONFIRMED_RECORDS {
+            let unsent = home
+                .unconfirmed
+                .iter()
+                .skip((replica.sent - confirmed) as usize);
+            let records = records_for_message(unsent);
             let first = replica.sent + 1;
             replica.sent += records.len() as u64;
             replica.sent_at = now;
@@ -71,13 +75,13 @@
         }
     }
 
-    /// Sends again what the replica hasn't confirmed.
+    /// Repeats unanswered messages: probes, merges, images, records and handover offers.
     pub(super) fn resend(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
         if let Role::Idle {
-            silent: Some(silent),
+            unanswered: Some(unanswered),
         } = &self.role
         {
-            for to in silent {
+            for to in unanswered {
                 let (to, message) = (to.clone(), PeerMessage::Probe);
                 actions.push(StepAction::Send { to, message });
             }
@@ -92,20 +96,20 @@
         let Some(replica) = &mut home.replica else {
             return;
         };
-        if now - replica.sent_at < RESEND_MS {
+        if now - replica.sent_at < RESEND_INTERVAL {
             return;
         }
-        match replica.held {
+        match replica.confirmed {
             None => self.send_image(now, actions),
-            Some(held) if held < home.sequence => {
-                replica.sent = held;
-                self.pump(now, actions);
+            Some(confirmed) if confirmed < home.sequence => {
+                replica.sent = confirmed;
+                self.send_records(now, actions);
             }
-            Some(_) => self.hand_over(now, actions),
+            Some(_) => self.offer_handover(now, actions),
         }
     }
 
-    /// Sends the state without its samples, which follow as records.
+    /// Sends the state without samples to the replica. The samples follow as records.
     pub(super) fn send_image(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
         let Role::Home(home) = &mut self.role else {
             return;
@@ -113,18 +117,19 @@
         let Some(replica) = &mut home.replica else {
             return;
         };
-        // A number of its own: no earlier confirmation or offer may be taken for one of this state.
+        // The image gets its own sequence number, so that an earlier confirmation or handover offer
+        // cannot be mistaken for one of this image.
         home.sequence += 1;
         let sequence = home.sequence;
-        home.unheld = self.image.sample_records().collect();
-        home.sequence += home.unheld.len() as u64;
+        home.unconfirmed = self.image.sample_records().collect();
+        home.sequence += home.unconfirmed.len() as u64;
         let message = PeerMessage::Image {
             epoch: self.epoch.clone(),
             image: Box::new(self.image.without_samples()),
             sequence,
             whole: home.sequence,
         };
-        replica.held = None;
+        replica.confirmed = None;
         replica.sent = sequence;
         replica.sent_at = now;
         for pending in &mut home.pending {
@@ -134,8 +139,8 @@
         actions.push(StepAction::Send { to, message });
     }
 
-    /// Offers the home to the replica when that ranks first and holds everything.
-    pub(super) fn hand_over(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
+    /// Offers the home role to the replica if it ranks first and has confirmed all records.
+    pub(super) fn offer_handover(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
         let Role::Home(home) = &mut self.role else {
             return;
         };
@@ -143,7 +148,7 @@
             return;
         };
         let is_first = self.ranked.first() == Some(&replica.host);
-        if is_first && replica.held == Some(home.sequence) {
+        if is_first && replica.confirmed == Some(home.sequence) {
             replica.sent_at = now;
             let message = PeerMessage::Handover {
                 epoch: self.epoch.clone(),
@@ -154,7 +159,14 @@
         }
     }
 
-    fn confirm(&mut self, from: &HostName, held: u64, now: Millis, actions: &mut Vec<StepAction>) {
+    /// Handles a confirmation that the replica holds all records up to `confirmed`.
+    fn handle_confirmation(
+        &mut self,
+        from: &HostName,
+        confirmed: u64,
+        now: Millis,
+        actions: &mut Vec<StepAction>,
+    ) {
         let Role::Home(home) = &mut self.role else {
             return;
         };
@@ -165,26 +177,23 @@
         else {
             return;
         };
-        let base = home.sequence - home.unheld.len() as u64;
-        if held < base || held > home.sequence {
+        let base = home.sequence - home.unconfirmed.len() as u64;
+        if confirmed < base || confirmed > home.sequence {
             return;
         }
-        home.unheld.drain(..(held - base) as usize);
-        replica.held = Some(held);
-        replica.sent = replica.sent.max(held);
-        for to in home.former.drain(..) {
+        home.unconfirmed.drain(..(confirmed - base) as usize);
+        replica.confirmed = Some(confirmed);
+        replica.sent = replica.sent.max(confirmed);
+        for to in home.former_replicas.drain(..) {
             let message = PeerMessage::Drop(self.epoch.clone());
             actions.push(StepAction::Send { to, message });
         }
-        self.release(actions);
-        self.pump(now, actions);
-        self.hand_over(now, actions);
+        self.release_answers(actions);
+        self.send_records(now, actions);
+        self.offer_handover(now, actions);
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // Messages
-
-    pub(super) fn hear(
+    pub(super) fn handle_peer_message(
         &mut self,
         from: HostName,
         message: PeerMessage,
@@ -199,11 +208,11 @@
                 None
             }
             PeerMessage::Handover { epoch, sequence } => {
-                Some(self.accept_home(epoch, sequence, now, actions))
+                Some(self.accept_handover(epoch, sequence, now, actions))
             }
             PeerMessage::Held { epoch, sequence } => {
                 if epoch == self.epoch {
-                    self.confirm(&from, sequence, now, actions);
+                    self.handle_confirmation(&from, sequence, now, actions);
                 }
                 None
             }
@@ -212,7 +221,7 @@
                 image,
                 sequence,
                 whole,
-            } => self.take_image(epoch, *image, sequence, whole, actions),
+            } => self.receive_image(epoch, *image, sequence, whole, actions),
             PeerMessage::Merge(image) => self.merge(image, now, actions),
             PeerMessage::Merged => {
                 self.unmerged = None;
@@ -233,12 +242,12 @@
             PeerMessage::Probe => Some(PeerMessage::Probed {
                 holds: (!matches!(self.role, Role::Idle { .. })).then(|| self.epoch.clone()),
             }),
-            PeerMessage::Probed { holds } => self.probed(&from, holds, now, actions),
+            PeerMessage::Probed { holds } => self.handle_probe_reply(&from, holds, now, actions),
             PeerMessage::Records {
                 epoch,
                 first,
                 records,
-            } => Some(self.take_records(epoch, first, &records, actions)),
+            } => Some(self.receive_records(epoch, first, &records, actions)),
             PeerMessage::Superseded(epoch) => {
                 if epoch > self.epoch && self.is_home() {
                     self.step_down(epoch, actions);
@@ -251,6 +260,8 @@
         }
     }
 
+    /// Merges the state that a former home accepted, cancels running samples of steps that are no
+    /// longer open, and starts missing ones.
     fn merge(
         &mut self,
         image: Box<Image>,
@@ -260,7 +271,7 @@
         if !self.is_home() {
             return None;
         }
-        self.record(Record::Merged(image), now, actions);
+        self.replicate(Record::Merged(image), now, actions);
         let image = &self.image;
         self.running.retain(|id, _| {
             let is_open = image.step(id.step).is_some();
@@ -273,7 +284,7 @@
         Some(PeerMessage::Merged)
     }
 
-    fn accept_home(
+    fn accept_handover(
         &mut self,
         epoch: Epoch,
         offered: u64,
@@ -295,7 +306,10 @@
         }
     }
 
-    fn take_image(
+    /// Replaces the state with the image of the home.
+    ///
+    /// The image has no samples, so the last complete state is kept until they have arrived.
+    fn receive_image(
         &mut self,
         epoch: Epoch,
         image: Image,
@@ -314,33 +328,33 @@
         }
         let mut kept = None;
         if let Role::Replica {
-            sequence: held,
-            shadow,
-            whole,
+            sequence: applied,
+            last_complete,
+            complete_at,
         } = &mut self.role
             && epoch == self.epoch
         {
-            if sequence < *held {
-                let sequence = *held;
+            if sequence < *applied {
+                let sequence = *applied;
                 return Some(PeerMessage::Held { epoch, sequence });
             }
-            kept = if *held >= *whole {
+            kept = if *applied >= *complete_at {
                 Some(Box::new(std::mem::take(&mut self.image)))
             } else {
-                shadow.take()
+                last_complete.take()
             };
         }
         self.image = image;
         self.role = Role::Replica {
             sequence,
-            shadow: kept.filter(|_| sequence < whole),
-            whole,
+            last_complete: kept.filter(|_| sequence < whole),
+            complete_at: whole,
         };
         self.epoch = epoch.clone();
         Some(PeerMessage::Held { epoch, sequence })
     }
 
-    fn take_records(
+    fn receive_records(
         &mut self,
         epoch: Epoch,
         first: u64,
@@ -354,9 +368,9 @@
             self.step_down(epoch.clone(), actions);
         }
         let Role::Replica {
-            sequence: held,
-            shadow,
-            whole,
+            sequence: applied,
+            last_complete,
+            complete_at,
         } = &mut self.role
         else {
             return PeerMessage::Missing(epoch);
@@ -364,30 +378,30 @@
         if epoch != self.epoch {
             return PeerMessage::Missing(epoch);
         }
-        if first > *held + 1 {
-            let sequence = *held;
+        if first > *applied + 1 {
+            let sequence = *applied;
             return PeerMessage::Held { epoch, sequence };
         }
-        let known = (*held + 1 - first) as usize;
+        let known = (*applied + 1 - first) as usize;
         for record in records.iter().skip(known) {
             self.image.apply(record);
-            *held += 1;
+            *applied += 1;
         }
-        if *held >= *whole {
-            *shadow = None;
+        if *applied >= *complete_at {
+            *last_complete = None;
         }
-        let sequence = *held;
+        let sequence = *applied;
         PeerMessage::Held { epoch, sequence }
     }
 }
 
-/// Takes as many records as a message may hold, and at least one.
-fn message_of<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<Record> {
+/// Returns the first records that fit into one message, but at least one.
+fn records_for_message<'a>(records: impl Iterator<Item = &'a Record>) -> Vec<Record> {
     let mut bytes = 0;
     let mut taken = Vec::new();
     for record in records {
         bytes += record.bytes();
-        if bytes > MOST_MESSAGE_BYTES && !taken.is_empty() {
+        if bytes > MAX_MESSAGE_BYTES && !taken.is_empty() {
             break;
         }
         taken.push(record.clone());
--- a/crates/godwitspool-rollout/src/step/request.rs
+++ b/crates/godwitspool-rollout/src/step/request.rs
@@ -1,79 +1,80 @@
-//! What a trainer asks, and the answers.
+//! Requests of a trainer and their answers.
 
 use godwitspool_types::HostName;
 use serde::{Deserialize, Serialize};
 
 use crate::{Digest, GroupSpec, Page, StepNumber};
 
-/// What a trainer asks. Each may be sent again after a lost answer.
+/// A request of a trainer. All requests are idempotent and may be retried after a lost answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Request {
-    /// Confirms that the trainer holds a whole batch.
+    /// Confirms that the trainer has received the complete batch.
     Acknowledge {
-        /// Digest of the batch.
+        /// Digest of the received batch.
         digest: Digest,
-        /// Step.
+        /// The step to acknowledge.
         step: StepNumber,
     },
     /// Fetches a page of the step's batch.
     Fetch {
-        /// Digest of the pages that the trainer has so far.
+        /// Digest of the pages received so far, or `None` for the first page.
         digest: Option<Digest>,
-        /// Page, from 0.
+        /// Page number, from 0.
         page: u32,
-        /// Step.
+        /// The step to fetch.
         step: StepNumber,
     },
-    /// Goes back to a checkpoint: forgets a step and all after it.
+    /// Removes a step and all later ones, because the trainer returned to a checkpoint.
     Rewind {
-        /// Counts the trainer's rewinds from 1, so that a late duplicate does nothing.
+        /// Number of this rewind, counted by the trainer from 1. A rewind that was already applied
+        /// has no effect, so late duplicates are harmless.
         number: u64,
-        /// First step that is forgotten.
+        /// First step to remove.
         step: StepNumber,
     },
     /// Submits groups of a step.
     Submit {
-        /// The groups.
+        /// Groups to add. Groups that are already known with the same contents are ignored.
         groups: Vec<GroupSpec>,
-        /// Step.
+        /// The step that the groups belong to.
         step: StepNumber,
-        /// Groups that the whole step has.
+        /// Number of groups in the complete step.
         total: u32,
     },
 }
 
-/// The answer to a trainer.
+/// An answer to a [`Request`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Answer {
-    /// The batch is handed over.
+    /// The step is acknowledged with this digest.
     Acknowledged(Digest),
     /// A page of the frozen batch.
     Page(Page),
-    /// Refused.
+    /// The request was refused. After [`Refusal::Moving`] it may still have been applied.
     Refused(Refusal),
-    /// The later steps are forgotten.
+    /// The steps are removed.
     Rewound,
-    /// The groups are held by two hosts.
+    /// The groups are stored, on two hosts if a replica is available.
     Submitted(Progress),
-    /// The step isn't whole yet.
+    /// The step is not complete yet.
     Waiting(Progress),
 }
 
-/// How far a step is.
+/// Progress of a step.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Progress {
-    /// Samples that are whole.
+    /// Number of complete samples.
     pub done: u32,
-    /// Groups submitted.
+    /// Number of submitted groups.
     pub groups: u32,
-    /// Samples submitted.
+    /// Number of samples in the submitted groups.
     pub samples: u32,
-    /// Groups that the whole step has.
+    /// Number of groups in the complete step.
     pub total: u32,
 }
 
 impl Progress {
-    /// Tells whether all groups are there and whole.
+    /// Returns `true` if all groups are submitted and all their samples are complete.
     pub fn is_complete(&self) -> bool {
         self.groups == self.total && self.done == self.samples
     }
@@ -83,36 +84,38 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The step was handed over and acknowledged.
+    /// The step was already acknowledged with this digest.
     Acknowledged(Digest),
-    /// A group was submitted before with other contents, or the step with another size.
+    /// The group with this number was submitted before with other contents, or the step was
+    /// submitted before with this other total.
     Conflict(u32),
-    /// Too many samples wait; nothing of the request was taken.
+    /// The limit of open samples would be exceeded. No group of the request was accepted.
     Full {
-        /// Most samples that may wait.
+        /// Maximum number of open samples.
         bound: u32,
-        /// Samples that wait.
+        /// Current number of open samples that count against the limit.
         waiting: u32,
     },
-    /// The step is older than all that is remembered.
+    /// The step is older than all remembered acknowledgments.
     Gone {
-        /// Oldest step that is remembered.
+        /// Oldest step that is still remembered.
         oldest: StepNumber,
     },
-    /// The request makes no sense.
+    /// The request is invalid, with a description for the trainer.
     Invalid(String),
-    /// Another host keeps the trainer's steps, or will in a moment.
+    /// Another host is home or is about to become home. The host is named if it is known.
     Moving(Option<HostName>),
-    /// The batch has fewer pages.
+    /// The page number is not below the number of pages.
     NoSuchPage,
-    /// Nothing was submitted for the step.
+    /// No groups were submitted for the step.
     UnknownStep,
-    /// The pages fetched so far belong to another batch; begin again at page 0.
+    /// The pages fetched so far do not belong to the current batch, which has this digest. The
+    /// trainer must fetch again from page 0.
     WrongBatch(Digest),
 }
 
 impl Refusal {
-    /// Returns the reason as it stands in metrics.
+    /// Returns the reason as used in metrics, logs and answers to trainers.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Acknowledged(_) => "acknowledged",
--- a/crates/godwitspool-rollout/src/step/role.rs
+++ b/crates/godwitspool-rollout/src/step/role.rs
@@ -1,4 +1,4 @@
-//! Which host is home, and how that changes.
+//! Selection and change of the home and the replica.
 
 use godwitspool_types::{HostName, Millis};
 
@@ -8,7 +8,7 @@
 use crate::SampleId;
 
 impl TrainerSteps {
-    pub(super) fn rank(
+    pub(super) fn update_ranking(
         &mut self,
         ranked: Vec<HostName>,
         now: Millis,
@@ -16,10 +16,10 @@
     ) {
         self.ranked = ranked;
         match &self.role {
-            Role::Home(_) => self.choose_replica(now, actions),
+            Role::Home(_) => self.update_replica(now, actions),
             Role::Idle { .. } => {
-                self.role = Role::Idle { silent: None };
-                self.probe(now, actions);
+                self.role = Role::Idle { unanswered: None };
+                self.probe_holders(now, actions);
             }
             Role::Replica { .. } => {
                 if !self.ranked.contains(&self.epoch.host) {
@@ -29,6 +29,7 @@
         }
     }
 
+    /// Returns the other host that this host considers home, if any.
     pub(super) fn believed_home(&self) -> Option<HostName> {
         let believed = match self.role {
             Role::Replica { .. } => Some(&self.epoch.host),
@@ -37,55 +38,57 @@
         believed.filter(|host| **host != self.host).cloned()
     }
 
-    /// Asks the other hosts whether they hold the steps, when this host ranks first.
-    pub(super) fn probe(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
+    /// Asks the other hosts whether they hold the steps if this host ranks first.
+    ///
+    /// It becomes home once all of them have answered that they do not.
+    pub(super) fn probe_holders(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
         let is_first = self.ranked.first() == Some(&self.host);
-        let Role::Idle { silent } = &mut self.role else {
+        let Role::Idle { unanswered } = &mut self.role else {
             return;
         };
         if !is_first {
-            *silent = None;
+            *unanswered = None;
             return;
         }
-        if silent.is_some() {
+        if unanswered.is_some() {
             return;
         }
         let others = self.ranked.iter().filter(|host| **host != self.host);
-        *silent = Some(others.cloned().collect());
-        for to in silent.iter().flatten() {
+        *unanswered = Some(others.cloned().collect());
+        for to in unanswered.iter().flatten() {
             let (to, message) = (to.clone(), PeerMessage::Probe);
             actions.push(StepAction::Send { to, message });
         }
-        self.become_home_if_unheld(now, actions);
+        self.become_home_if_unclaimed(now, actions);
     }
 
-    pub(super) fn probed(
+    pub(super) fn handle_probe_reply(
         &mut self,
         from: &HostName,
         holds: Option<Epoch>,
         now: Millis,
         actions: &mut Vec<StepAction>,
     ) -> Option<PeerMessage> {
-        let Role::Idle { silent } = &mut self.role else {
+        let Role::Idle { unanswered } = &mut self.role else {
             return None;
         };
         match holds {
-            // This host was home under the same name and has been replaced.
+            // This host was home in that epoch and has since restarted without its steps.
             Some(epoch) if epoch.host == self.host => return Some(PeerMessage::Lost(epoch)),
-            // The holder hands over once it sees this host rank first.
-            Some(_) => *silent = None,
+            // The holder hands over once it also ranks this host first.
+            Some(_) => *unanswered = None,
             None => {
-                if let Some(silent) = silent {
-                    silent.retain(|host| host != from);
+                if let Some(unanswered) = unanswered {
+                    unanswered.retain(|host| host != from);
                 }
-                self.become_home_if_unheld(now, actions);
+                self.become_home_if_unclaimed(now, actions);
             }
         }
         None
     }
 
-    fn become_home_if_unheld(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
-        if matches!(&self.role, Role::Idle { silent: Some(silent) } if silent.is_empty()) {
+    fn become_home_if_unclaimed(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
+        if matches!(&self.role, Role::Idle { unanswered: Some(hosts) } if hosts.is_empty()) {
             self.become_home(now, actions);
         }
     }
@@ -98,28 +101,28 @@
         self.counts.takeovers += 1;
         if let Role::Replica {
             sequence,
-            shadow,
-            whole,
+            last_complete,
+            complete_at,
         } = &mut self.role
-            && *sequence < *whole
-            && let Some(shadow) = shadow.take()
+            && *sequence < *complete_at
+            && let Some(last_complete) = last_complete.take()
         {
-            self.image = *shadow;
+            self.image = *last_complete;
         }
         if let Some(image) = self.unmerged.take() {
             self.image.apply(&Record::Merged(image));
         }
-        self.image.catch_up(&self.known);
+        self.image.catch_up(&self.versions);
         self.role = Role::Home(Home::default());
         let replica = self.ranked.iter().find(|host| **host != self.host).cloned();
-        self.appoint(replica, now, actions);
+        self.set_replica(replica, now, actions);
         self.start_missing(actions);
     }
 
-    /// Starts the samples that are neither whole nor being made.
+    /// Starts all samples that are neither complete nor running.
     pub(super) fn start_missing(&mut self, actions: &mut Vec<StepAction>) {
         let mut missing = Vec::new();
-        for (step, groups) in self.image.open() {
+        for (step, groups) in self.image.open_steps() {
             for group in groups.values() {
                 let indices = group.samples.iter().enumerate();
                 let open = indices.filter(|(_, sample)| sample.is_none());
@@ -134,59 +137,68 @@
                 index,
             };
             if !self.running.contains_key(&id) {
-                self.start(step, &spec, index, actions);
+                self.start_sample(step, &spec, index, actions);
             }
         }
     }
 
-    /// Changes the replica when the ranking names another one.
-    fn choose_replica(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
+    /// Replaces the replica if the ranking selects another one.
+    fn update_replica(&mut self, now: Millis, actions: &mut Vec<StepAction>) {
         let next = self.ranked.iter().find(|host| **host != self.host).cloned();
         let Role::Home(home) = &mut self.role else {
             return;
         };
-        let former = home.replica.as_ref().map(|replica| replica.host.clone());
-        if next == former {
-            self.hand_over(now, actions);
+        let current = home.replica.as_ref().map(|replica| replica.host.clone());
+        if next == current {
+            self.offer_handover(now, actions);
             return;
         }
-        home.former.extend(former);
-        home.former.retain(|host| Some(host) != next.as_ref());
-        // Above the tenure that a former replica would begin, which holds less than the next one.
+        home.former_replicas.extend(current);
+        home.former_replicas
+            .retain(|host| Some(host) != next.as_ref());
+        // The former replica would take over with the current number plus one. It holds fewer
+        // records than the next replica, so this epoch must be greater.
         self.epoch.number += 2;
-        self.appoint(next, now, actions);
+        self.set_replica(next, now, actions);
     }
 
-    fn appoint(&mut self, replica: Option<HostName>, now: Millis, actions: &mut Vec<StepAction>) {
+    fn set_replica(
+        &mut self,
+        replica: Option<HostName>,
+        now: Millis,
+        actions: &mut Vec<StepAction>,
+    ) {
         if let Role::Home(home) = &mut self.role {
             home.replica = replica.map(|host| Replica {
-                held: None,
+                confirmed: None,
                 host,
                 sent: 0,
                 sent_at: now,
             });
         }
         self.send_image(now, actions);
-        self.release(actions);
+        self.release_answers(actions);
     }
 
-    /// Ends this host's part: the streams are cancelled and the callers sent to the new home.
+    /// Gives up the current role. Streams are cancelled and waiting callers are redirected to the
+    /// new home.
     pub(super) fn step_down(&mut self, epoch: Epoch, actions: &mut Vec<StepAction>) {
         let ids = std::mem::take(&mut self.running).into_keys();
         actions.extend(ids.map(|id| StepAction::Cancel { id }));
-        let role = std::mem::replace(&mut self.role, Role::Idle { silent: None });
+        let role = std::mem::replace(&mut self.role, Role::Idle { unanswered: None });
         let image = std::mem::take(&mut self.image);
         if let Role::Home(home) = role {
             let successor = home
                 .replica
                 .as_ref()
-                .filter(|replica| replica.held.is_some());
+                .filter(|replica| replica.confirmed.is_some());
             if successor.is_some_and(|replica| replica.host == epoch.host) {
-                // The successor answers nothing before this host holds its state.
+                // The successor answers no request before this host holds its complete state, so
+                // its own state is kept as a fallback until then.
                 self.role = Role::Replica {
                     sequence: 0,
-                    shadow: Some(Box::new(image)),
-                    whole: u64::MAX,
+                    last_complete: Some(Box::new(image)),
+                    complete_at: u64::MAX,
                 };
             } else {
                 self.unmerged = Some(Box::new(image.without_samples()));
