--- a/crates/godwitspool-rollout/src/step/mod.rs
+++ b/crates/godwitspool-rollout/src/step/mod.rs
@@ -176,9 +176,7 @@
             StepEvent::Finished { generation, sample } => {
                 self.finish_sample(generation, sample, now, &mut actions);
             }
-            StepEvent::Peer { from, message } => {
-                self.handle_peer_message(from, message, now, &mut actions)
-            }
+            StepEvent::Peer { from, message } => self.receive(from, message, now, &mut actions),
             StepEvent::Published(version) => self.publish(version, now, &mut actions),
             StepEvent::Ranked(ranked) => self.update_ranking(ranked, now, &mut actions),
             StepEvent::Request { reply, request } => {
--- a/crates/godwitspool-rollout/src/step/replication.rs
+++ b/crates/godwitspool-rollout/src/step/replication.rs
@@ -193,7 +193,7 @@
         self.offer_handover(now, actions);
     }
 
-    pub(super) fn handle_peer_message(
+    pub(super) fn receive(
         &mut self,
         from: HostName,
         message: PeerMessage,
--- a/crates/godwitspool-rollout/tests/histories.rs
+++ b/crates/godwitspool-rollout/tests/histories.rs
@@ -1,4 +1,5 @@
-//! Exactly once, whole and fresh under random interleavings.
+//! Property tests: under random interleavings, batches are complete and fresh and delivered exactly
+//! once.
 
 mod world;
 
@@ -6,8 +7,9 @@
 
 use world::{Op, World};
 
-/// Losses, repeats, reorderings and one replaced host at a time, with true views of who lives.
-fn calm() -> impl Strategy<Value = Op> {
+/// Operations with lost, duplicated and reordered messages, in which all hosts see the same live
+/// hosts.
+fn benign_ops() -> impl Strategy<Value = Op> {
     let at = 0..1_000_usize;
     prop_oneof![
         8 => at.clone().prop_map(Op::Deliver),
@@ -20,15 +22,15 @@
     ]
 }
 
-/// As above, with hosts that hold others for dead that live.
-fn partitioned() -> impl Strategy<Value = Op> {
+/// Like [`benign_ops`], but hosts may also consider live hosts dead.
+fn partition_ops() -> impl Strategy<Value = Op> {
     prop_oneof![
-        20 => calm(),
+        20 => benign_ops(),
         2 => (0..3_usize, 0..4_usize).prop_map(|(host, dead)| Op::Rank(host, dead)),
     ]
 }
 
-/// Lets messages through until home and replica stand.
+/// Delivers messages until the home and the replica are established.
 fn settle(world: &mut World) {
     for _ in 0..8 {
         (0..64).for_each(|_| world.run(Op::Deliver(0)));
@@ -40,12 +42,12 @@
     #![proptest_config(ProptestConfig::with_cases(1_500))]
 
     #[test]
-    fn a_host_that_dies_changes_and_loses_nothing(
-        before in prop::collection::vec(calm(), 0..120),
+    fn a_host_failure_neither_loses_nor_changes_batches(
+        before in prop::collection::vec(benign_ops(), 0..120),
         victim in 0..3_usize,
         second in 0..3_usize,
         is_noticed in any::<bool>(),
-        after in prop::collection::vec(calm(), 0..120),
+        after in prop::collection::vec(benign_ops(), 0..120),
     ) {
         let mut world = World::new();
         settle(&mut world);
@@ -56,7 +58,7 @@
         for op in after {
             world.run(op);
         }
-        // The second one dies once the first one's place is filled.
+        // The second host fails only after the first one has been replaced.
         world.heal();
         world.finish_all(2);
         settle(&mut world);
@@ -65,13 +67,13 @@
         world.trainer.check();
         prop_assert_eq!(world.trainer.lost_steps, 0);
         for digests in world.trainer.digests.values() {
-            prop_assert_eq!(digests.len(), 1, "a step was given as two batches");
+            prop_assert_eq!(digests.len(), 1, "a step was delivered as two different batches");
         }
     }
 
     #[test]
-    fn hosts_that_lose_each_other_mix_nothing(
-        ops in prop::collection::vec(partitioned(), 0..300),
+    fn network_partitions_never_mix_batches(
+        ops in prop::collection::vec(partition_ops(), 0..300),
     ) {
         let mut world = World::new();
         settle(&mut world);
@@ -101,7 +103,7 @@
 fn what_a_home_accepted_while_cut_off_is_merged() {
     let mut world = World::new();
     settle(&mut world);
-    // The two lose each other, and the third host still hears both.
+    // Hosts 0 and 1 consider each other dead, and host 2 still receives messages from both.
     world.run(Op::Rank(1, 0));
     world.deliver_all();
     world.run(Op::Trainer(1, false));
@@ -123,7 +125,7 @@
     world.run(Op::Rank(0, 1));
     settle(&mut world);
     assert!(world.hosts[2].is_replica());
-    // Back to the first replica; the other is never told that it is one no more.
+    // Host 1 becomes replica again. Host 2 never receives the message to drop its steps.
     world.heal();
     for _ in 0..8 {
         world.lose_to(2);
@@ -144,9 +146,9 @@
 #[test]
 fn homes_that_began_alone_become_one_and_lose_nothing() {
     let mut world = World::new();
-    // Before any message: each host holds the others for dead.
+    // Before any message is delivered, each host considers the others dead.
     for host in 0..3 {
-        world.alone(host);
+        world.isolate(host);
     }
     world.run(Op::Trainer(0, false));
     world.heal();
--- a/crates/godwitspool-rollout/tests/policies.rs
+++ b/crates/godwitspool-rollout/tests/policies.rs
@@ -1,4 +1,4 @@
-//! Shares, stragglers, scoring and reclaim.
+//! Tests of shares, stragglers, scoring and reclaim.
 
 use std::collections::BTreeMap;
 
@@ -17,9 +17,6 @@
     }
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Shares
-
 fn starts(shares: &mut Shares, count: u32) -> BTreeMap<TrainerName, u32> {
     let mut starts = BTreeMap::new();
     for _ in 0..count {
@@ -53,7 +50,7 @@
 }
 
 #[test]
-fn what_a_trainer_leaves_goes_to_the_others_and_is_not_saved_up() {
+fn an_idle_trainer_leaves_its_share_and_accumulates_no_credit() {
     let mut shares = Shares::default();
     let rules = TrainerDemand {
         share: 1,
@@ -129,9 +126,6 @@
     assert!(shares.next(Millis(0), 5.0, |_| true).is_some());
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Stragglers
-
 fn member(group: u32) -> SampleId {
     SampleId {
         group,
@@ -139,7 +133,7 @@
     }
 }
 
-fn learnt(rules: StragglerRules) -> Stragglers {
+fn with_history(rules: StragglerRules) -> Stragglers {
     let mut stragglers = Stragglers::new(rules);
     (0..1_000).for_each(|n| stragglers.learn(&member(n), 180 + n % 40));
     (0..20).for_each(|n| stragglers.learn(&member(n), 2_000));
@@ -170,8 +164,8 @@
 
 #[test]
 fn a_sample_on_a_slow_target_moves() {
-    let mut stragglers = learnt(StragglerRules::default());
-    // Ten tokens in ten seconds, where others get fifty a second.
+    let mut stragglers = with_history(StragglerRules::default());
+    // 10 tokens in 10 s, while the other target generates 50 tokens per second.
     let running = [attempt(0, 10, 0, 10_000)];
     let remedies = stragglers.decide(&running, &mut fast(4), Millis(0), Millis(10_000));
     assert_eq!(
@@ -185,8 +179,8 @@
 }
 
 #[test]
-fn a_long_answer_takes_its_cache_along() {
-    let mut stragglers = learnt(StragglerRules::default());
+fn a_long_answer_is_migrated_with_its_kv_cache() {
+    let mut stragglers = with_history(StragglerRules::default());
     let running = [attempt(0, 500, 0, 100_000)];
     let remedies = stragglers.decide(&running, &mut fast(4), Millis(0), Millis(100_000));
     assert_eq!(
@@ -200,7 +194,7 @@
 
 #[test]
 fn a_silent_stream_is_hedged() {
-    let mut stragglers = learnt(StragglerRules::default());
+    let mut stragglers = with_history(StragglerRules::default());
     let running = [attempt(0, 100, 0, 2_000)];
     let remedies = stragglers.decide(&running, &mut fast(4), Millis(0), Millis(9_000));
     assert_eq!(
@@ -214,7 +208,7 @@
 
 #[rstest]
 #[case::no_room(0, 0, 10, 0)]
-#[case::hidden_behind_the_queue(4, 400_000, 10, 0)]
+#[case::ends_before_the_queue(4, 400_000, 10, 0)]
 #[case::as_fast_as_elsewhere(4, 0, 500, 0)]
 fn no_remedy_without_gain(
     #[case] room: u32,
@@ -222,7 +216,7 @@
     #[case] tokens: u32,
     #[case] expected: usize,
 ) {
-    let mut stragglers = learnt(StragglerRules::default());
+    let mut stragglers = with_history(StragglerRules::default());
     let running = [attempt(0, tokens, 0, 10_000)];
     let remedies = stragglers.decide(&running, &mut fast(room), Millis(queue_ms), Millis(10_000));
     assert_eq!(remedies.len(), expected, "{remedies:?}");
@@ -230,7 +224,7 @@
 
 #[test]
 fn remedies_stay_within_their_budget_and_the_room() {
-    let mut stragglers = learnt(StragglerRules {
+    let mut stragglers = with_history(StragglerRules {
         max_extra_work: 0.01,
         ..StragglerRules::default()
     });
@@ -242,32 +236,35 @@
         remedies.len()
     );
     assert!(stragglers.extra_work() <= 0.01);
-    let mut stragglers = learnt(StragglerRules::default());
+    let mut stragglers = with_history(StragglerRules::default());
     let remedies = stragglers.decide(&running[..10], &mut fast(2), Millis(0), Millis(9_000));
     assert_eq!(remedies.len(), 2);
 }
 
 #[test]
-fn a_group_is_expected_to_answer_as_long_as_it_did_or_does() {
-    let mut stragglers = learnt(StragglerRules::default());
+fn expected_length_follows_the_lengths_in_the_group() {
+    let mut stragglers = with_history(StragglerRules::default());
     (0..4).for_each(|_| stragglers.learn(&member(77), 1_900));
     let length = |group, longest| stragglers.expected_length(&member(group), longest, 4_096);
     assert!((length(5, 0) - 236.0).abs() < 20.0);
     assert!(length(77, 0) > 1_500.0);
-    assert!(length(5, 900) > 1_500.0, "one of its samples runs long");
-    assert!((length(5, 300) - length(5, 0)).abs() < 1.0, "still usual");
+    assert!(
+        length(5, 900) > 1_500.0,
+        "one of its running samples is long"
+    );
+    assert!(
+        (length(5, 300) - length(5, 0)).abs() < 1.0,
+        "below the threshold for a long answer"
+    );
     assert!((stragglers.expected_length(&member(77), 0, 10) - 10.0).abs() < 1.0);
     stragglers.forget(SampleId::default().step);
     let length = stragglers.expected_length(&member(77), 0, 4_096);
     assert!(
         length < 300.0,
-        "another step's group of that number has other prompts"
+        "a group of another step with the same number has other prompts"
     );
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Scoring
-
 #[test]
 fn a_score_is_called_again_and_then_reported_as_failed() {
     let mut scoring = Scoring::new(ScoringRules {
@@ -285,7 +282,7 @@
     assert!(scoring.decide(failed.clone(), Millis(1)).is_empty());
     assert!(
         scoring.decide(ScoreEvent::Tick, Millis(100)).is_empty(),
-        "before the wait is over"
+        "before the backoff has elapsed"
     );
     assert_eq!(scoring.decide(ScoreEvent::Tick, Millis(201)), call);
     let settled = scoring.decide(failed, Millis(202));
@@ -323,9 +320,6 @@
     assert_eq!(actions, [ScoreAction::Call("a".into())]);
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Reclaim
-
 #[test]
 fn every_reclaimed_stream_gets_one_move_within_notice_and_room() {
     let streams = (0..200).map(|index| ReclaimedStream {
--- a/crates/godwitspool-rollout/tests/samples.rs
+++ b/crates/godwitspool-rollout/tests/samples.rs
@@ -1,4 +1,4 @@
-//! Spans, versions, lengths and placement.
+//! Tests of spans, version order, answer lengths, batch digests and placement.
 
 use godwitspool_rollout::{
     Batch, Freshness, Lengths, Sample, SampleId, Score, Tokens, VersionOrder, rank_hosts,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_oldest_span_counts() {
+fn the_worst_span_determines_freshness() {
     let order = order(&["v1", "v2", "v3"]);
     let mut sample = Sample::new(SampleId::default());
     sample.push("a", &"v3".into());
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_rest_to_expect_grows_with_what_is_there() {
+fn expected_remaining_grows_with_the_current_length() {
     let mut lengths = Lengths::default();
     (0..980).for_each(|_| lengths.add(200));
     (0..20).for_each(|_| lengths.add(2_000));
@@ -127,6 +127,6 @@
     assert!((lengths.expected_remaining(300) - 1_700.0).abs() < 20.0);
     assert!(
         (lengths.expected_remaining(5_000) - 5_000.0).abs() < 1.0,
-        "longer than all before"
+        "longer than any recorded answer"
     );
 }
--- a/crates/godwitspool-rollout/tests/steps.rs
+++ b/crates/godwitspool-rollout/tests/steps.rs
@@ -1,4 +1,4 @@
-//! What the home answers the trainer.
+//! Tests of the answers of a home without a replica.
 
 use godwitspool_rollout::{
     AcknowledgedBatch, Answer, Digest, GroupSpec, Message, Refusal, Request, Sample, SampleId,
@@ -20,25 +20,25 @@
     }
 }
 
-struct Alone {
+struct SingleHost {
     now: Millis,
     started: Vec<(u64, SampleId)>,
     steps: TrainerSteps,
 }
 
-impl Alone {
+impl SingleHost {
     fn new(rules: StepRules) -> Self {
-        let mut alone = Self {
+        let mut host = Self {
             now: Millis(0),
             started: Vec::new(),
             steps: TrainerSteps::new("t".into(), "a".into(), rules),
         };
-        alone.tell(StepEvent::Ranked(vec!["a".into()]));
-        alone.tell(StepEvent::Published("v1".into()));
-        alone
+        host.send_event(StepEvent::Ranked(vec!["a".into()]));
+        host.send_event(StepEvent::Published("v1".into()));
+        host
     }
 
-    fn tell(&mut self, event: StepEvent) -> Vec<StepAction> {
+    fn send_event(&mut self, event: StepEvent) -> Vec<StepAction> {
         let actions = self.steps.decide(event, self.now);
         for action in &actions {
             if let StepAction::Start { generation, id, .. } = action {
@@ -48,19 +48,19 @@
         actions
     }
 
-    fn ask(&mut self, request: Request) -> Answer {
-        let actions = self.tell(StepEvent::Request { reply: 1, request });
+    fn send_request(&mut self, request: Request) -> Answer {
+        let actions = self.send_event(StepEvent::Request { reply: 1, request });
         let answer = actions.into_iter().find_map(|action| match action {
             StepAction::Answer { answer, .. } => Some(answer),
             _ => None,
         });
-        answer.expect("every request is answered")
+        answer.expect("request was not answered")
     }
 
     fn submit(&mut self, step: u64, groups: impl IntoIterator<Item = u32>) -> Answer {
         let step = StepNumber(step);
         let groups = groups.into_iter().map(|group| spec(step, group)).collect();
-        self.ask(Request::Submit {
+        self.send_request(Request::Submit {
             groups,
             step,
             total: 2,
@@ -69,7 +69,7 @@
 
     fn fetch(&mut self, step: u64, page: u32) -> Answer {
         let step = StepNumber(step);
-        self.ask(Request::Fetch {
+        self.send_request(Request::Fetch {
             digest: None,
             page,
             step,
@@ -80,7 +80,7 @@
         for (generation, id) in std::mem::take(&mut self.started) {
             let mut sample = Sample::new(id);
             sample.push("x", &version.into());
-            self.tell(StepEvent::Finished { generation, sample });
+            self.send_event(StepEvent::Finished { generation, sample });
         }
     }
 
@@ -93,43 +93,42 @@
 }
 
 #[test]
-fn a_step_is_handed_over_whole_and_once() {
-    let mut alone = Alone::new(StepRules::default());
-    assert!(matches!(alone.submit(1, [0]), Answer::Submitted(_)));
-    alone.finish("v1");
-    assert!(matches!(alone.fetch(1, 0), Answer::Waiting(progress) if !progress.is_complete()));
-    alone.submit(1, [0, 1]);
-    assert_eq!(
-        alone.started.len(),
-        2,
-        "the group that is held is not made again"
-    );
-    alone.finish("v1");
-    let digest = alone.digest(1);
+fn a_step_is_delivered_complete_and_acknowledged_once() {
+    let mut host = SingleHost::new(StepRules::default());
+    assert!(matches!(host.submit(1, [0]), Answer::Submitted(_)));
+    host.finish("v1");
+    assert!(matches!(host.fetch(1, 0), Answer::Waiting(progress) if !progress.is_complete()));
+    host.submit(1, [0, 1]);
+    assert_eq!(host.started.len(), 2, "a known group is not started again");
+    host.finish("v1");
+    let digest = host.digest(1);
     let acknowledge = Request::Acknowledge {
         digest,
         step: StepNumber(1),
     };
-    assert_eq!(alone.ask(acknowledge.clone()), Answer::Acknowledged(digest));
-    assert_eq!(alone.ask(acknowledge), Answer::Acknowledged(digest));
     assert_eq!(
-        alone.fetch(1, 0),
+        host.send_request(acknowledge.clone()),
+        Answer::Acknowledged(digest)
+    );
+    assert_eq!(host.send_request(acknowledge), Answer::Acknowledged(digest));
+    assert_eq!(
+        host.fetch(1, 0),
         Answer::Refused(Refusal::Acknowledged(digest))
     );
     assert_eq!(
-        alone.submit(1, [0]),
+        host.submit(1, [0]),
         Answer::Refused(Refusal::Acknowledged(digest))
     );
 }
 
 #[test]
 fn a_batch_is_counted_once_when_it_is_acknowledged() {
-    let mut alone = Alone::new(StepRules::default());
-    alone.submit(1, [0, 1]);
-    alone.finish("v1");
-    let digest = alone.digest(1);
-    let Answer::Page(page) = alone.fetch(1, 0) else {
-        panic!("the batch is frozen")
+    let mut host = SingleHost::new(StepRules::default());
+    host.submit(1, [0, 1]);
+    host.finish("v1");
+    let digest = host.digest(1);
+    let Answer::Page(page) = host.fetch(1, 0) else {
+        panic!("batch is not frozen")
     };
     let tokens = page
         .samples
@@ -142,7 +141,7 @@
             step: StepNumber(1),
         };
         let event = StepEvent::Request { reply: 9, request };
-        let actions = alone.steps.decide(event, Millis(10));
+        let actions = host.steps.decide(event, Millis(10));
         let counts = actions.into_iter().filter_map(|action| match action {
             StepAction::Count(handed) => Some(handed),
             _ => None,
@@ -161,55 +160,55 @@
 
 #[test]
 fn a_batch_that_was_fetched_never_changes() {
-    let mut alone = Alone::new(StepRules::default());
-    alone.submit(1, [0, 1]);
-    let late = alone.started.clone();
-    alone.finish("v1");
-    let digest = alone.digest(1);
+    let mut host = SingleHost::new(StepRules::default());
+    host.submit(1, [0, 1]);
+    let late = host.started.clone();
+    host.finish("v1");
+    let digest = host.digest(1);
     for version in ["v2", "v3", "v4"] {
-        alone.tell(StepEvent::Published(version.into()));
+        host.send_event(StepEvent::Published(version.into()));
     }
-    alone.started = late;
-    alone.finish("v4");
-    assert_eq!(alone.digest(1), digest);
-    assert_eq!(alone.steps.counts().dropped, 4);
+    host.started = late;
+    host.finish("v4");
+    assert_eq!(host.digest(1), digest);
+    assert_eq!(host.steps.counts().dropped, 4);
 }
 
 #[test]
 fn samples_too_old_at_delivery_are_made_again() {
-    let mut alone = Alone::new(StepRules::default());
-    alone.submit(1, [0, 1]);
-    alone.finish("v1");
+    let mut host = SingleHost::new(StepRules::default());
+    host.submit(1, [0, 1]);
+    host.finish("v1");
     for version in ["v2", "v3"] {
-        alone.tell(StepEvent::Published(version.into()));
+        host.send_event(StepEvent::Published(version.into()));
     }
-    assert!(matches!(alone.fetch(1, 0), Answer::Waiting(_)));
-    assert_eq!(alone.steps.counts().remade, 4);
-    alone.finish("v1");
-    assert_eq!(alone.steps.counts().remade, 8, "too old as it comes in");
-    alone.finish("v3");
-    assert!(matches!(alone.fetch(1, 0), Answer::Page(_)));
+    assert!(matches!(host.fetch(1, 0), Answer::Waiting(_)));
+    assert_eq!(host.steps.counts().remade, 4);
+    host.finish("v1");
+    assert_eq!(host.steps.counts().remade, 8, "too old on completion");
+    host.finish("v3");
+    assert!(matches!(host.fetch(1, 0), Answer::Page(_)));
 }
 
 #[test]
-fn an_unknown_version_is_held_back_until_it_is_known_or_made_again() {
-    let mut alone = Alone::new(StepRules::default());
-    alone.submit(1, [0, 1]);
-    alone.finish("v9");
-    assert!(matches!(alone.fetch(1, 0), Answer::Waiting(_)));
-    alone.now = Millis(10_000);
-    assert!(matches!(alone.fetch(1, 0), Answer::Waiting(_)));
-    assert_eq!(alone.started.len(), 4);
-    alone.finish("v9");
-    assert!(matches!(alone.fetch(1, 0), Answer::Waiting(_)));
-    alone.tell(StepEvent::Published("v9".into()));
-    assert!(matches!(alone.fetch(1, 0), Answer::Page(_)));
+fn samples_of_an_unknown_version_wait_until_it_is_known_or_the_timeout() {
+    let mut host = SingleHost::new(StepRules::default());
+    host.submit(1, [0, 1]);
+    host.finish("v9");
+    assert!(matches!(host.fetch(1, 0), Answer::Waiting(_)));
+    host.now = Millis(10_000);
+    assert!(matches!(host.fetch(1, 0), Answer::Waiting(_)));
+    assert_eq!(host.started.len(), 4);
+    host.finish("v9");
+    assert!(matches!(host.fetch(1, 0), Answer::Waiting(_)));
+    host.send_event(StepEvent::Published("v9".into()));
+    assert!(matches!(host.fetch(1, 0), Answer::Page(_)));
 }
 
 #[test]
 fn a_group_with_other_contents_is_a_conflict() {
-    let mut alone = Alone::new(StepRules::default());
-    alone.submit(1, [0]);
+    let mut host = SingleHost::new(StepRules::default());
+    host.submit(1, [0]);
     let mut other = spec(StepNumber(1), 0);
     other.messages = [Message::default()].into();
     let request = |groups: Vec<GroupSpec>, total| Request::Submit {
@@ -217,15 +216,15 @@
         step: StepNumber(1),
         total,
     };
-    let answer = alone.ask(request(vec![spec(StepNumber(1), 1), other], 2));
+    let answer = host.send_request(request(vec![spec(StepNumber(1), 1), other], 2));
     assert_eq!(answer, Answer::Refused(Refusal::Conflict(0)));
     assert_eq!(
-        alone.started.len(),
+        host.started.len(),
         2,
-        "nothing of the refused request was taken"
+        "no group of the refused request was accepted"
     );
     assert_eq!(
-        alone.ask(request(Vec::new(), 3)),
+        host.send_request(request(Vec::new(), 3)),
         Answer::Refused(Refusal::Conflict(2))
     );
 }
@@ -236,13 +235,13 @@
 #[case(2, 2, 4, 16)]
 #[case(0, 0, 4, 16)]
 #[case(1, 0, 4, 0)]
-fn nonsense_is_refused(
+fn invalid_groups_are_refused(
     #[case] total: u32,
     #[case] group: u32,
     #[case] samples: u32,
     #[case] max_tokens: u32,
 ) {
-    let mut alone = Alone::new(StepRules::default());
+    let mut host = SingleHost::new(StepRules::default());
     let step = StepNumber(1);
     let group = GroupSpec {
         group,
@@ -250,113 +249,119 @@
         samples,
         ..spec(step, 0)
     };
-    let is_right = (total, group.group, samples, max_tokens) == (1, 0, 4, 16);
-    let answer = alone.ask(Request::Submit {
+    let is_valid = (total, group.group, samples, max_tokens) == (1, 0, 4, 16);
+    let answer = host.send_request(Request::Submit {
         groups: vec![group],
         step,
         total,
     });
     assert_eq!(
-        is_right,
+        is_valid,
         matches!(answer, Answer::Submitted(_)),
         "{answer:?}"
     );
     assert_eq!(
-        !is_right,
+        !is_valid,
         matches!(answer, Answer::Refused(Refusal::Invalid(_)))
     );
 }
 
 #[test]
-fn a_full_trainer_is_refused_and_its_oldest_step_still_gets_whole() {
-    let mut alone = Alone::new(StepRules {
+fn the_sample_limit_still_lets_the_oldest_step_complete() {
+    let mut host = SingleHost::new(StepRules {
         max_open_samples: 4,
         ..StepRules::default()
     });
-    alone.submit(1, [0]);
-    alone.submit(2, [0]);
+    host.submit(1, [0]);
+    host.submit(2, [0]);
     let full = Answer::Refused(Refusal::Full {
         bound: 4,
         waiting: 4,
     });
-    assert_eq!(alone.submit(2, [1]), full);
-    assert!(matches!(alone.submit(1, [1]), Answer::Submitted(_)));
-    alone.finish("v1");
-    let digest = alone.digest(1);
-    alone.ask(Request::Acknowledge {
+    assert_eq!(host.submit(2, [1]), full);
+    assert!(matches!(host.submit(1, [1]), Answer::Submitted(_)));
+    host.finish("v1");
+    let digest = host.digest(1);
+    host.send_request(Request::Acknowledge {
         digest,
         step: StepNumber(1),
     });
-    assert!(matches!(alone.submit(2, [1]), Answer::Submitted(_)));
+    assert!(matches!(host.submit(2, [1]), Answer::Submitted(_)));
 }
 
 #[test]
 fn pages_of_two_batches_never_mix() {
-    let mut alone = Alone::new(StepRules {
+    let mut host = SingleHost::new(StepRules {
         page_samples: 1,
         ..StepRules::default()
     });
-    alone.submit(1, [0, 1]);
+    host.submit(1, [0, 1]);
     let fetch = |digest, page| Request::Fetch {
         digest,
         page,
         step: StepNumber(1),
     };
-    let wrong = alone.ask(fetch(Some(Digest(7)), 1));
+    let wrong = host.send_request(fetch(Some(Digest(7)), 1));
     assert!(matches!(wrong, Answer::Refused(Refusal::WrongBatch(_))));
-    alone.finish("v1");
-    let digest = alone.digest(1);
-    let wrong = alone.ask(fetch(Some(Digest(7)), 1));
+    host.finish("v1");
+    let digest = host.digest(1);
+    let wrong = host.send_request(fetch(Some(Digest(7)), 1));
     assert_eq!(wrong, Answer::Refused(Refusal::WrongBatch(digest)));
-    assert!(matches!(alone.ask(fetch(Some(digest), 3)), Answer::Page(page) if page.pages == 4));
+    assert!(
+        matches!(host.send_request(fetch(Some(digest), 3)), Answer::Page(page) if page.pages == 4)
+    );
     assert_eq!(
-        alone.ask(fetch(Some(digest), 4)),
+        host.send_request(fetch(Some(digest), 4)),
         Answer::Refused(Refusal::NoSuchPage)
     );
 }
 
 #[test]
 fn a_trainer_that_goes_back_to_a_checkpoint_gets_new_samples() {
-    let mut alone = Alone::new(StepRules::default());
-    assert_eq!(alone.fetch(1, 0), Answer::Refused(Refusal::UnknownStep));
-    alone.submit(1, [0, 1]);
-    alone.finish("v1");
-    let digest = alone.digest(1);
-    alone.ask(Request::Acknowledge {
+    let mut host = SingleHost::new(StepRules::default());
+    assert_eq!(host.fetch(1, 0), Answer::Refused(Refusal::UnknownStep));
+    host.submit(1, [0, 1]);
+    host.finish("v1");
+    let digest = host.digest(1);
+    host.send_request(Request::Acknowledge {
         digest,
         step: StepNumber(1),
     });
-    alone.submit(2, [0, 1]);
-    let late = alone.started.clone();
+    host.submit(2, [0, 1]);
+    let late = host.started.clone();
     let rewind = |number| Request::Rewind {
         number,
         step: StepNumber(1),
     };
-    assert_eq!(alone.ask(rewind(1)), Answer::Rewound);
-    alone.started.clear();
-    assert!(matches!(alone.submit(1, [0, 1]), Answer::Submitted(_)));
-    assert_eq!(alone.ask(rewind(1)), Answer::Rewound, "a late duplicate");
-    alone.submit(2, [0, 1]);
-    let fresh = std::mem::replace(&mut alone.started, late);
-    alone.finish("v1");
-    assert!(matches!(alone.fetch(2, 0), Answer::Waiting(progress) if progress.done == 0));
-    alone.started = fresh;
-    alone.finish("v1");
-    assert!(matches!(alone.fetch(1, 0), Answer::Page(_)));
+    assert_eq!(host.send_request(rewind(1)), Answer::Rewound);
+    host.started.clear();
+    assert!(matches!(host.submit(1, [0, 1]), Answer::Submitted(_)));
+    assert_eq!(
+        host.send_request(rewind(1)),
+        Answer::Rewound,
+        "a late duplicate"
+    );
+    host.submit(2, [0, 1]);
+    let fresh = std::mem::replace(&mut host.started, late);
+    host.finish("v1");
+    assert!(matches!(host.fetch(2, 0), Answer::Waiting(progress) if progress.done == 0));
+    host.started = fresh;
+    host.finish("v1");
+    assert!(matches!(host.fetch(1, 0), Answer::Page(_)));
     assert!(matches!(
-        alone.ask(rewind(3)),
+        host.send_request(rewind(3)),
         Answer::Refused(Refusal::Invalid(_))
     ));
 }
 
 #[test]
-fn steps_beyond_memory_are_gone() {
-    let mut alone = Alone::new(StepRules::default());
+fn steps_older_than_the_remembered_ones_are_gone() {
+    let mut host = SingleHost::new(StepRules::default());
     for step in 1..=1_025 {
-        alone.submit(step, [0, 1]);
-        alone.finish("v1");
-        let digest = alone.digest(step);
-        alone.ask(Request::Acknowledge {
+        host.submit(step, [0, 1]);
+        host.finish("v1");
+        let digest = host.digest(step);
+        host.send_request(Request::Acknowledge {
             digest,
             step: StepNumber(step),
         });
@@ -364,6 +369,6 @@
     let gone = Answer::Refused(Refusal::Gone {
         oldest: StepNumber(2),
     });
-    assert_eq!(alone.fetch(1, 0), gone);
-    assert_eq!(alone.submit(1, [0]), gone);
+    assert_eq!(host.fetch(1, 0), gone);
+    assert_eq!(host.submit(1, [0]), gone);
 }
--- a/crates/godwitspool-rollout/tests/swaps.rs
+++ b/crates/godwitspool-rollout/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! Rollout of weights over targets.
+//! Tests of weight rollouts over targets.
 
 use std::collections::BTreeSet;
 
@@ -58,7 +58,7 @@
     assert_ne!(
         plan.state(&target(0)),
         Some(SwapState::Out),
-        "a limited store is no failure"
+        "rate limiting does not count as a failure"
     );
 }
 
@@ -95,7 +95,7 @@
     let old = SwapEvent::Seen(target(0), "v1".into());
     assert!(
         plan.decide(old.clone(), Millis(200)).is_empty(),
-        "a load report may lag"
+        "a load report may predate the swap"
     );
     assert_eq!(
         plan.state(&target(0)),
@@ -135,24 +135,28 @@
         seeds in prop::collection::vec(0..100_u8, 200),
     ) {
         let rules = SwapRules::default();
-        let most = (fates.len() as f64 * rules.max_fraction).floor().max(1.0) as usize;
+        let max_swapping = (fates.len() as f64 * rules.max_fraction).floor().max(1.0) as usize;
         let mut plan = plan(fates.len(), rules);
         let mut open: BTreeSet<TargetName> = BTreeSet::new();
         let mut actions = plan.decide(SwapEvent::Desired("v2".into()), Millis(0));
         for round in 0..4_000_u64 {
             open.extend(swaps(&actions));
-            prop_assert!(open.len() <= most, "{} of {most} swap at once", open.len());
+            prop_assert!(
+                open.len() <= max_swapping,
+                "{} targets swap at once, at most {max_swapping} may",
+                open.len()
+            );
             let now = Millis(round * 50);
             let Some(name) = open.pop_first() else {
                 actions = plan.decide(SwapEvent::Tick, now);
                 continue;
             };
             let number: usize = name.as_str()[1..].parse().unwrap();
-            let luck = seeds[(round as usize * 7 + number) % seeds.len()];
+            let roll = seeds[(round as usize * 7 + number) % seeds.len()];
             let event = match fates[number] {
                 0 => SwapEvent::Failed(name, SwapFailure::Failed),
-                1 if luck < 50 => SwapEvent::Failed(name, SwapFailure::RateLimited),
-                2 if luck < 30 => SwapEvent::Answered(name, "v1".into()),
+                1 if roll < 50 => SwapEvent::Failed(name, SwapFailure::RateLimited),
+                2 if roll < 30 => SwapEvent::Answered(name, "v1".into()),
                 _ => SwapEvent::Seen(name, "v2".into()),
             };
             actions = plan.decide(event, now);
--- a/crates/godwitspool-rollout/tests/world/mod.rs
+++ b/crates/godwitspool-rollout/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Three hosts, a network that loses, repeats and reorders, engines and one trainer.
+//! A simulation of three hosts, a lossy network that duplicates and reorders messages, engines, and
+//! one trainer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,14 +18,14 @@
     Deliver(usize),
     Duplicate(usize),
     Finish(usize),
-    /// Replaces a host by an empty one of the same name; the others may not notice.
+    /// Restarts a host without its state. The flag tells whether the others notice.
     Kill(usize, bool),
     Lose(usize),
     Publish,
-    /// Gives one host its own view of who lives.
+    /// Gives the first host a ranking in which the second one is dead.
     Rank(usize, usize),
     Tick,
-    /// The trainer asks a host; the answer may be lost.
+    /// The trainer sends a request to a host. The flag tells whether the answer is lost.
     Trainer(usize, bool),
 }
 
@@ -33,7 +34,7 @@
     pub batches: BTreeMap<StepNumber, Vec<Page>>,
     pub digests: BTreeMap<StepNumber, BTreeSet<Digest>>,
     pub lost_steps: u32,
-    asked: u64,
+    last_request: u64,
     pages: Vec<Page>,
     phase: Phase,
     step: StepNumber,
@@ -51,8 +52,8 @@
     pub hosts: Vec<TrainerSteps>,
     pub trainer: Trainer,
     frozen: Vec<u64>,
-    lives: u64,
-    lost: BTreeSet<u64>,
+    restarts: u64,
+    lost_replies: BTreeSet<u64>,
     network: Vec<(HostName, HostName, PeerMessage)>,
     now: Millis,
     running: Vec<(usize, u64, u64, SampleId)>,
@@ -77,8 +78,8 @@
             hosts: hosts.collect(),
             trainer: Trainer::default(),
             frozen: vec![0; HOSTS],
-            lives: 0,
-            lost: BTreeSet::new(),
+            restarts: 0,
+            lost_replies: BTreeSet::new(),
             network: Vec::new(),
             now: Millis(0),
             running: Vec::new(),
@@ -105,23 +106,23 @@
                 self.version += 1;
                 for host in 0..HOSTS {
                     let version = self.current();
-                    self.tell(host, StepEvent::Published(version));
+                    self.send_event(host, StepEvent::Published(version));
                 }
             }
             Op::Rank(host, dead) => {
                 let live = (0..HOSTS).filter(|other| *other == host || other != &dead);
                 let ranked = live.map(name).collect();
-                self.tell(host, StepEvent::Ranked(ranked));
+                self.send_event(host, StepEvent::Ranked(ranked));
             }
             Op::Tick => {
                 self.now = self.now + Millis(600);
-                (0..HOSTS).for_each(|host| self.tell(host, StepEvent::Tick));
+                (0..HOSTS).for_each(|host| self.send_event(host, StepEvent::Tick));
             }
-            Op::Trainer(host, is_lost) => self.ask(host, is_lost),
+            Op::Trainer(host, is_lost) => self.send_request(host, is_lost),
         }
     }
 
-    /// Ends all views and losses, and lets everything happen until the trainer has `steps` batches.
+    /// Heals the network and runs the simulation until the trainer has `steps` batches.
     pub fn finish_all(&mut self, steps: usize) {
         self.heal();
         for round in 0..4_000 {
@@ -141,27 +142,27 @@
         );
     }
 
-    /// Gives a host the view that it is the only one.
-    pub fn alone(&mut self, host: usize) {
-        self.tell(host, StepEvent::Ranked(vec![name(host)]));
+    /// Gives a host a ranking in which it is the only live host.
+    pub fn isolate(&mut self, host: usize) {
+        self.send_event(host, StepEvent::Ranked(vec![name(host)]));
     }
 
-    /// Delivers all messages in their order, and those that follow from them.
+    /// Delivers all messages in order, including those that result from the delivery.
     pub fn deliver_all(&mut self) {
         while !self.network.is_empty() {
             self.run(Op::Deliver(0));
         }
     }
 
-    /// Loses all messages on their way to a host.
+    /// Drops all messages in flight to a host.
     pub fn lose_to(&mut self, host: usize) {
         self.network.retain(|(_, to, _)| *to != name(host));
     }
 
-    /// Gives all hosts the view that all live.
+    /// Gives all hosts a ranking in which all hosts are live.
     pub fn heal(&mut self) {
         for host in 0..HOSTS {
-            self.tell(host, StepEvent::Ranked((0..HOSTS).map(name).collect()));
+            self.send_event(host, StepEvent::Ranked((0..HOSTS).map(name).collect()));
         }
     }
 
@@ -170,14 +171,14 @@
     }
 
     fn kill(&mut self, host: usize, is_noticed: bool) {
-        self.lives += 1;
+        self.restarts += 1;
         self.hosts[host] = TrainerSteps::new("t".into(), name(host), rules());
         self.frozen[host] = 0;
         self.network
             .retain(|(from, to, _)| *from != name(host) && *to != name(host));
         self.running.retain(|(home, ..)| *home != host);
         let version = self.current();
-        self.tell(host, StepEvent::Published(version));
+        self.send_event(host, StepEvent::Published(version));
         if is_noticed {
             for other in (0..HOSTS).filter(|other| *other != host) {
                 self.run(Op::Rank(other, host));
@@ -187,20 +188,20 @@
         self.heal();
     }
 
-    fn deliver(&mut self, at: usize, is_last: bool) {
+    fn deliver(&mut self, at: usize, is_removed: bool) {
         if self.network.is_empty() {
             return;
         }
         let at = at % self.network.len();
-        let (from, to, message) = if is_last {
+        let (from, to, message) = if is_removed {
             self.network.remove(at)
         } else {
             self.network[at].clone()
         };
         let host = (0..HOSTS)
             .find(|host| name(*host) == to)
-            .expect("a host of this name");
-        self.tell(host, StepEvent::Peer { from, message });
+            .expect("message to an unknown host");
+        self.send_event(host, StepEvent::Peer { from, message });
     }
 
     fn finish(&mut self, at: usize) {
@@ -208,38 +209,41 @@
             return;
         }
         let at = at % self.running.len();
-        let (host, life, generation, id) = self.running.swap_remove(at);
+        let (host, restart, generation, id) = self.running.swap_remove(at);
         let version = self.current();
         let mut sample = Sample::new(id);
-        sample.push(&format!("{host}/{life}/{generation}/{version}"), &version);
-        self.tell(host, StepEvent::Finished { generation, sample });
+        sample.push(
+            &format!("{host}/{restart}/{generation}/{version}"),
+            &version,
+        );
+        self.send_event(host, StepEvent::Finished { generation, sample });
     }
 
-    fn ask(&mut self, host: usize, is_lost: bool) {
-        self.trainer.asked += 1;
-        let reply = self.trainer.asked;
+    fn send_request(&mut self, host: usize, is_lost: bool) {
+        self.trainer.last_request += 1;
+        let reply = self.trainer.last_request;
         if is_lost {
-            self.lost.insert(reply);
+            self.lost_replies.insert(reply);
         }
         let request = self.trainer.request();
-        self.tell(host % HOSTS, StepEvent::Request { reply, request });
+        self.send_event(host % HOSTS, StepEvent::Request { reply, request });
     }
 
-    fn tell(&mut self, host: usize, event: StepEvent) {
+    fn send_event(&mut self, host: usize, event: StepEvent) {
         let actions = self.hosts[host].decide(event, self.now);
         self.check_freshness(host);
         for action in actions {
             match action {
                 StepAction::Answer { reply, answer } => {
-                    if !self.lost.contains(&reply) {
-                        self.trainer.hear(reply, answer);
+                    if !self.lost_replies.contains(&reply) {
+                        self.trainer.handle_answer(reply, answer);
                     }
                 }
-                // The engine's stream goes on: its late end has to be dropped by generation.
+                // The stream is not cancelled, so its late sample must be dropped by generation.
                 StepAction::Cancel { .. } | StepAction::Count(_) => {}
                 StepAction::Send { to, message } => self.network.push((name(host), to, message)),
                 StepAction::Start { generation, id, .. } => {
-                    self.running.push((host, self.lives, generation, id));
+                    self.running.push((host, self.restarts, generation, id));
                 }
             }
         }
@@ -265,10 +269,13 @@
                 group,
                 index,
             };
-            let sample = self.hosts[host].image().sample(&id).expect("a whole step");
+            let sample = self.hosts[host]
+                .image()
+                .sample(&id)
+                .expect("frozen step lacks a sample");
             let version: u32 = sample.spans[0].version.as_str()[1..]
                 .parse()
-                .expect("a version's number");
+                .expect("version is not a number");
             let age = self.version - version;
             assert!(
                 age <= rules().staleness_versions,
@@ -299,15 +306,19 @@
         }
     }
 
-    fn hear(&mut self, reply: u64, answer: Answer) {
-        if reply != self.asked {
+    fn handle_answer(&mut self, reply: u64, answer: Answer) {
+        if reply != self.last_request {
             return;
         }
         match answer {
             Answer::Acknowledged(_) => {
                 let pages = std::mem::take(&mut self.pages);
                 let before = self.batches.insert(self.step, pages);
-                assert!(before.is_none(), "step {} came twice", self.step);
+                assert!(
+                    before.is_none(),
+                    "step {} was acknowledged twice",
+                    self.step
+                );
                 self.step.0 += 1;
                 self.phase = Phase::Submit;
             }
@@ -327,8 +338,8 @@
             Answer::Refused(Refusal::Moving(_)) | Answer::Waiting(_) => {}
             Answer::Refused(Refusal::UnknownStep) => {
                 if self.phase == Phase::Acknowledge {
-                    // It has the batch: there is nothing left to ask for.
-                    self.hear(reply, Answer::Acknowledged(Digest::default()));
+                    // The trainer already has the complete batch and continues with the next step.
+                    self.handle_answer(reply, Answer::Acknowledged(Digest::default()));
                 } else {
                     self.lost_steps += 1;
                     self.pages.clear();
@@ -340,7 +351,7 @@
         }
     }
 
-    /// Checks that every batch is whole, of one piece and holds every sample once.
+    /// Checks that every batch is complete, has a single digest and contains every sample once.
     pub fn check(&self) {
         for (step, pages) in &self.batches {
             assert!(pages.iter().all(|page| page.digest == pages[0].digest));
