--- a/crates/godwitspool-rollout/src/step/home.rs
+++ b/crates/godwitspool-rollout/src/step/home.rs
@@ -245,11 +245,11 @@
     }
 
     fn is_too_old(&self, sample: &Sample) -> bool {
-        let judged = self
+        let freshness = self
             .image
             .order()
             .sample_freshness(sample, self.rules.staleness_versions);
-        matches!(judged, Freshness::TooOld { .. })
+        matches!(freshness, Freshness::TooOld { .. })
     }
 
     fn freeze_if_complete(&mut self, step: StepNumber, now: Millis, actions: &mut Vec<StepAction>) {
