--- a/crates/godwitspool-rollout/src/sample.rs
+++ b/crates/godwitspool-rollout/src/sample.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returned when a text is not a valid sample ID.
+/// The error for a text that is not a valid sample ID.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("invalid sample ID \"{text}\", expected TRAINER/STEP/GROUP/INDEX"))]
 pub struct SampleIdError {
@@ -89,7 +89,7 @@
     pub role: String,
 }
 
-/// A group: one prompt that is sampled several times.
+/// A group of samples that share one prompt.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupSpec {
     /// Number of the group in the step, from 0.
--- a/crates/godwitspool-rollout/src/straggler.rs
+++ b/crates/godwitspool-rollout/src/straggler.rs
@@ -29,7 +29,7 @@
     /// Minimum time that a remedy must save. The saving must also exceed the time that its cost
     /// takes.
     pub min_gain_ms: Millis,
-    /// Minimum part of the remaining time that a remedy must save.
+    /// Minimum fraction of the remaining time that a remedy must save.
     pub min_gain_ratio: f64,
     /// Number of prompt tokens that a target prefills in the time of one generated token.
     pub prefill_ratio: f64,
--- a/crates/godwitspool-rollout/src/swap.rs
+++ b/crates/godwitspool-rollout/src/swap.rs
@@ -13,7 +13,7 @@
 pub struct SwapRules {
     /// Number of failed swaps after which a target is taken out.
     pub max_attempts: u32,
-    /// Maximum part of the service's targets that swap at the same time. One target always may.
+    /// Maximum fraction of the service's targets that swap at the same time. One target always may.
     pub max_fraction: f64,
     /// Maximum time between swaps while the weight store rate-limits them, and the retry delay of a
     /// swap that was fenced.
--- a/crates/godwitspool-rollout/src/version_order.rs
+++ b/crates/godwitspool-rollout/src/version_order.rs
@@ -25,7 +25,7 @@
     },
 }
 
-/// The most recent 256 weight versions of one service's model, in order of publication.
+/// The most recent weight versions, at most 256, of one service's model, in order of publication.
 ///
 /// The caller keeps one order for each qualified service, so that equal version names in two fleets
 /// are not confused. The age of a version counts from its last publication, so a version that is
