--- a/crates/godwitspool-rollout/tests/policies.rs
+++ b/crates/godwitspool-rollout/tests/policies.rs
@@ -1,11 +1,11 @@
-//! Shares, stragglers, scoring and reclaim.
+//! Tests of shares, stragglers, scoring and reclaim.
 
 use std::collections::BTreeMap;
 
 use godwitspool_rollout::{
     Attempt, ReclaimBudget, ReclaimMove, ReclaimedStream, Remedy, SampleId, Score, ScoreAction,
-    ScoreEvent, Scoring, ScoringRules, ShareRules, Shares, StragglerRules, Stragglers, TargetPace,
-    plan_reclaim,
+    ScoreEvent, Scoring, ScoringRules, Shares, StragglerRules, Stragglers, TargetPace,
+    TrainerDemand, plan_reclaim,
 };
 use godwitspool_types::{Millis, TrainerName};
 use rstest::rstest;
@@ -17,9 +17,6 @@
     }
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Shares
-
 fn starts(shares: &mut Shares, count: u32) -> BTreeMap<TrainerName, u32> {
     let mut starts = BTreeMap::new();
     for _ in 0..count {
@@ -35,10 +32,10 @@
     let mut shares = Shares::default();
     let names: Vec<TrainerName> = (1..=12).map(|n| format!("t{n:02}").into()).collect();
     for (share, name) in (1..).zip(&names) {
-        let rules = ShareRules {
+        let rules = TrainerDemand {
             share,
             waiting: 100_000,
-            ..ShareRules::default()
+            ..TrainerDemand::default()
         };
         shares.set(name.clone(), rules);
     }
@@ -53,17 +50,17 @@
 }
 
 #[test]
-fn what_a_trainer_leaves_goes_to_the_others_and_is_not_saved_up() {
+fn an_idle_trainer_leaves_its_share_and_accumulates_no_credit() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 1_000,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("busy".into(), rules.clone());
     shares.set(
         "idle".into(),
-        ShareRules {
+        TrainerDemand {
             waiting: 0,
             ..rules.clone()
         },
@@ -79,15 +76,15 @@
 #[test]
 fn a_late_step_runs_ahead_by_a_bounded_amount() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 10_000,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("calm".into(), rules.clone());
-    let late = ShareRules {
+    let late = TrainerDemand {
         deadline: Some(Millis(10)),
-        rest: Millis(1_000),
+        remaining: Millis(1_000),
         ..rules
     };
     shares.set("late".into(), late);
@@ -100,10 +97,10 @@
 #[test]
 fn a_trainer_without_room_keeps_its_turn() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 1_000,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("a".into(), rules.clone());
     shares.set("b".into(), rules);
@@ -117,10 +114,10 @@
 #[test]
 fn refunded_work_is_not_charged() {
     let mut shares = Shares::default();
-    let rules = ShareRules {
+    let rules = TrainerDemand {
         share: 1,
         waiting: 1,
-        ..ShareRules::default()
+        ..TrainerDemand::default()
     };
     shares.set("t".into(), rules);
     shares.next(Millis(0), 5.0, |_| true);
@@ -129,9 +126,6 @@
     assert!(shares.next(Millis(0), 5.0, |_| true).is_some());
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Stragglers
-
 fn member(group: u32) -> SampleId {
     SampleId {
         group,
@@ -139,7 +133,7 @@
     }
 }
 
-fn learnt(rules: StragglerRules) -> Stragglers {
+fn with_history(rules: StragglerRules) -> Stragglers {
     let mut stragglers = Stragglers::new(rules);
     (0..1_000).for_each(|n| stragglers.learn(&member(n), 180 + n % 40));
     (0..20).for_each(|n| stragglers.learn(&member(n), 2_000));
@@ -149,13 +143,13 @@
 fn attempt(index: u32, tokens: u32, started: u64, heard: u64) -> Attempt {
     Attempt {
         id: sample(index),
-        heard: Millis(heard),
+        last_token_at: Millis(heard),
         max_tokens: 4_096,
-        prompt: 100,
-        started: Millis(started),
+        prompt_tokens: 100,
+        started_at: Millis(started),
         target: "slow".into(),
         tokens,
-        resumed: 0,
+        resumed_tokens: 0,
         hedge: None,
     }
 }
@@ -170,8 +164,8 @@
 
 #[test]
 fn a_sample_on_a_slow_target_moves() {
-    let mut stragglers = learnt(StragglerRules::default());
-    // Ten tokens in ten seconds, where others get fifty a second.
+    let mut stragglers = with_history(StragglerRules::default());
+    // 10 tokens in 10 s, while the other target generates 50 tokens per second.
     let running = [attempt(0, 10, 0, 10_000)];
     let remedies = stragglers.decide(&running, &mut fast(4), Millis(0), Millis(10_000));
     assert_eq!(
@@ -185,8 +179,8 @@
 }
 
 #[test]
-fn a_long_answer_takes_its_cache_along() {
-    let mut stragglers = learnt(StragglerRules::default());
+fn a_long_answer_is_migrated_with_its_kv_cache() {
+    let mut stragglers = with_history(StragglerRules::default());
     let running = [attempt(0, 500, 0, 100_000)];
     let remedies = stragglers.decide(&running, &mut fast(4), Millis(0), Millis(100_000));
     assert_eq!(
@@ -200,7 +194,7 @@
 
 #[test]
 fn a_silent_stream_is_hedged() {
-    let mut stragglers = learnt(StragglerRules::default());
+    let mut stragglers = with_history(StragglerRules::default());
     let running = [attempt(0, 100, 0, 2_000)];
     let remedies = stragglers.decide(&running, &mut fast(4), Millis(0), Millis(9_000));
     assert_eq!(
@@ -214,7 +208,7 @@
 
 #[rstest]
 #[case::no_room(0, 0, 10, 0)]
-#[case::hidden_behind_the_queue(4, 400_000, 10, 0)]
+#[case::ends_before_the_queue(4, 400_000, 10, 0)]
 #[case::as_fast_as_elsewhere(4, 0, 500, 0)]
 fn no_remedy_without_gain(
     #[case] room: u32,
@@ -222,7 +216,7 @@
     #[case] tokens: u32,
     #[case] expected: usize,
 ) {
-    let mut stragglers = learnt(StragglerRules::default());
+    let mut stragglers = with_history(StragglerRules::default());
     let running = [attempt(0, tokens, 0, 10_000)];
     let remedies = stragglers.decide(&running, &mut fast(room), Millis(queue_ms), Millis(10_000));
     assert_eq!(remedies.len(), expected, "{remedies:?}");
@@ -230,8 +224,8 @@
 
 #[test]
 fn remedies_stay_within_their_budget_and_the_room() {
-    let mut stragglers = learnt(StragglerRules {
-        extra_work: 0.01,
+    let mut stragglers = with_history(StragglerRules {
+        max_extra_work: 0.01,
         ..StragglerRules::default()
     });
     let running: Vec<_> = (0..50).map(|index| attempt(index, 100, 0, 2_000)).collect();
@@ -242,36 +236,39 @@
         remedies.len()
     );
     assert!(stragglers.extra_work() <= 0.01);
-    let mut stragglers = learnt(StragglerRules::default());
+    let mut stragglers = with_history(StragglerRules::default());
     let remedies = stragglers.decide(&running[..10], &mut fast(2), Millis(0), Millis(9_000));
     assert_eq!(remedies.len(), 2);
 }
 
 #[test]
-fn a_group_is_expected_to_answer_as_long_as_it_did_or_does() {
-    let mut stragglers = learnt(StragglerRules::default());
+fn expected_length_follows_the_lengths_in_the_group() {
+    let mut stragglers = with_history(StragglerRules::default());
     (0..4).for_each(|_| stragglers.learn(&member(77), 1_900));
     let length = |group, longest| stragglers.expected_length(&member(group), longest, 4_096);
     assert!((length(5, 0) - 236.0).abs() < 20.0);
     assert!(length(77, 0) > 1_500.0);
-    assert!(length(5, 900) > 1_500.0, "one of its samples runs long");
-    assert!((length(5, 300) - length(5, 0)).abs() < 1.0, "still usual");
+    assert!(
+        length(5, 900) > 1_500.0,
+        "one of its running samples is long"
+    );
+    assert!(
+        (length(5, 300) - length(5, 0)).abs() < 1.0,
+        "below the threshold for a long answer"
+    );
     assert!((stragglers.expected_length(&member(77), 0, 10) - 10.0).abs() < 1.0);
     stragglers.forget(SampleId::default().step);
     let length = stragglers.expected_length(&member(77), 0, 4_096);
     assert!(
         length < 300.0,
-        "another step's group of that number has other prompts"
+        "a group of another step with the same number has other prompts"
     );
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Scoring
-
 #[test]
 fn a_score_is_called_again_and_then_reported_as_failed() {
     let mut scoring = Scoring::new(ScoringRules {
-        attempts: 2,
+        max_attempts: 2,
         ..ScoringRules::default()
     });
     let call = [ScoreAction::Call("k".into())];
@@ -285,7 +282,7 @@
     assert!(scoring.decide(failed.clone(), Millis(1)).is_empty());
     assert!(
         scoring.decide(ScoreEvent::Tick, Millis(100)).is_empty(),
-        "before the wait is over"
+        "before the backoff has elapsed"
     );
     assert_eq!(scoring.decide(ScoreEvent::Tick, Millis(201)), call);
     let settled = scoring.decide(failed, Millis(202));
@@ -323,18 +320,15 @@
     assert_eq!(actions, [ScoreAction::Call("a".into())]);
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Reclaim
-
 #[test]
 fn every_reclaimed_stream_gets_one_move_within_notice_and_room() {
     let streams = (0..200).map(|index| ReclaimedStream {
         id: sample(index),
-        rest_ms: Millis(u64::from(index) * 100),
+        remaining_ms: Millis(u64::from(index) * 100),
         tokens: index * 10,
     });
     let budget = ReclaimBudget {
-        parallel: 1,
+        max_parallel: 1,
         room: 100,
         ..ReclaimBudget::default()
     };
