--- a/crates/godwitspool-entry/src/request/peers.rs
+++ b/crates/godwitspool-entry/src/request/peers.rs
@@ -46,7 +46,13 @@
             target,
         } => suspicion::settle(shared, suspicion::blame(part, print, target)),
         ServingRequest::EndTrial { answered, print } => {
-            suspicion::settle(shared, SuspectEvent::Over { answered, print });
+            suspicion::settle(
+                shared,
+                SuspectEvent::TrialEnded {
+                    answered,
+                    fingerprint: print,
+                },
+            );
         }
         ServingRequest::HandOver(items) => keyed::take_items(shared, items),
         ServingRequest::Lift(print) => suspicion::settle(shared, SuspectEvent::Lift(print)),
--- a/crates/godwitspool-entry/src/request/suspicion.rs
+++ b/crates/godwitspool-entry/src/request/suspicion.rs
@@ -8,8 +8,8 @@
 
 use godwitspool_connection::messages::{ServingAnswer, ServingRequest, SuspectRecord, TrialReply};
 use godwitspool_request::{
-    Blame, Reason, Record, Refusal, Standing, SuspectAction, SuspectEvent, SuspectList, Suspects,
-    TargetId, share_blame,
+    Blame, CrashRecord, Reason, Refusal, SuspectAction, SuspectEvent, SuspectList, SuspectStatus,
+    Suspects, TargetId, split_blame,
 };
 use godwitspool_types::{HostName, Millis, TargetName};
 
@@ -86,16 +86,16 @@
 /// A suspect runs only when its home host says so; when the home can't be asked it isn't run.
 pub(crate) fn enter(shared: &Arc<Shared>, print: u64) -> Result<bool, Refusal> {
     let now = shared.serving.now();
-    let standing = shared.serving.suspicion.lock().list.standing(print, now);
+    let standing = shared.serving.suspicion.lock().list.status(print, now);
     let standing = if shared.view().quarantined.contains(&print) {
-        Standing::Quarantined
+        SuspectStatus::Quarantined
     } else {
         standing
     };
     match standing {
-        Standing::Clear => return Ok(false),
-        Standing::Quarantined => return Err(Reason::Quarantined.into()),
-        Standing::Suspect => {}
+        SuspectStatus::Clear => return Ok(false),
+        SuspectStatus::Quarantined => return Err(Reason::Quarantined.into()),
+        SuspectStatus::Suspect => {}
     }
     let record = shared.serving.suspicion.lock().list.record(print);
     let request = ServingRequest::AskTrial {
@@ -119,21 +119,23 @@
         Noticed::InTrial(print) => Some(print),
         Noticed::New => None,
     };
-    for blame in share_blame(target, flying, trial) {
+    for blame in split_blame(target, flying, trial) {
         let request = ServingRequest::Blame {
             part: blame.part,
-            print: blame.print,
+            print: blame.fingerprint,
             target: blame.target.clone(),
         };
-        let home = shared.serving.home(shared, blame.print);
+        let home = shared.serving.home(shared, blame.fingerprint);
         if serving::call(shared, &home, request).is_none() {
             log::warn!(home:%; "home of a suspect is not reached");
         }
         // The next attempt of this host has to know, also when the news is late.
         let now = shared.serving.now();
         let mut state = shared.serving.suspicion.lock();
-        if state.list.standing(blame.print, now) == Standing::Clear {
-            state.list.announce(blame.print, Record::default(), now);
+        if state.list.status(blame.fingerprint, now) == SuspectStatus::Clear {
+            state
+                .list
+                .announce(blame.fingerprint, CrashRecord::default(), now);
         }
     }
 }
@@ -173,7 +175,11 @@
     let now = shared.serving.now();
     let print = known.print;
     let known = from_wire(known, now);
-    let event = SuspectEvent::Ask { host, known, print };
+    let event = SuspectEvent::TrialRequested {
+        host,
+        known,
+        fingerprint: print,
+    };
     let actions = shared.serving.suspicion.lock().suspects.decide(event, now);
     match actions.first() {
         Some(SuspectAction::Try) => TrialReply::Try,
@@ -218,7 +224,7 @@
 pub(crate) fn blame(part: u32, print: u64, target: TargetName) -> SuspectEvent {
     SuspectEvent::Blamed(Blame {
         part,
-        print,
+        fingerprint: print,
         target,
     })
 }
@@ -244,7 +250,7 @@
     }
 }
 
-fn to_wire(print: u64, record: &Record, now: Millis) -> SuspectRecord {
+fn to_wire(print: u64, record: &CrashRecord, now: Millis) -> SuspectRecord {
     SuspectRecord {
         blame: record.blame,
         crashed: record.crashed.iter().cloned().collect(),
@@ -254,8 +260,8 @@
     }
 }
 
-fn from_wire(record: SuspectRecord, now: Millis) -> Record {
-    Record {
+fn from_wire(record: SuspectRecord, now: Millis) -> CrashRecord {
+    CrashRecord {
         blame: record.blame,
         crashed: record.crashed.into_iter().collect(),
         crashes: record.crashes,
--- a/crates/godwitspool-measure/src/serving/poison.rs
+++ b/crates/godwitspool-measure/src/serving/poison.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use godwitspool_request::{
-    Record, Standing, SuspectAction, SuspectEvent, SuspectList, Suspects, share_blame,
+    CrashRecord, SuspectAction, SuspectEvent, SuspectList, SuspectStatus, Suspects, split_blame,
 };
 use godwitspool_types::{HostName, Millis, TargetName};
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IteratorRandom};
@@ -97,9 +97,9 @@
                 crashed.insert(target);
                 known.crash(target, &prints, trial, now);
             } else if let Some(print) = trial {
-                let over = SuspectEvent::Over {
+                let over = SuspectEvent::TrialEnded {
                     answered: true,
-                    print,
+                    fingerprint: print,
                 };
                 known.settle(over, now);
             }
@@ -135,14 +135,14 @@
         match policy {
             Policy::None => true,
             Policy::Counting => self.counts.get(&print).is_none_or(|count| *count < 2),
-            Policy::Trials => match self.list.standing(print, now) {
-                Standing::Clear => true,
-                Standing::Quarantined => false,
-                Standing::Suspect => {
-                    let event = SuspectEvent::Ask {
+            Policy::Trials => match self.list.status(print, now) {
+                SuspectStatus::Clear => true,
+                SuspectStatus::Quarantined => false,
+                SuspectStatus::Suspect => {
+                    let event = SuspectEvent::TrialRequested {
                         host: HostName::from("h"),
-                        known: Record::default(),
-                        print,
+                        known: CrashRecord::default(),
+                        fingerprint: print,
                     };
                     let free = !trials.contains_key(&target);
                     let tried = free && self.suspects.decide(event, now) == [SuspectAction::Try];
@@ -160,7 +160,7 @@
             *self.counts.entry(*print).or_default() += 1;
         }
         let name = TargetName::from(format!("t{target}"));
-        for blame in share_blame(&name, prints, trial) {
+        for blame in split_blame(&name, prints, trial) {
             self.settle(SuspectEvent::Blamed(blame), now);
         }
     }
--- a/crates/godwitspool-request/src/lib.rs
+++ b/crates/godwitspool-request/src/lib.rs
@@ -38,8 +38,8 @@
 pub use limits::{Grant, LimitHome, Limits, Usage, Want};
 pub use prefixes::{PrefixEvent, Prefixes};
 pub use quarantine::{
-    Blame, Record, Standing, SuspectAction, SuspectEvent, SuspectList, Suspects, WHOLE_BLAME,
-    share_blame,
+    BLAME_PER_CRASH, Blame, CrashRecord, SuspectAction, SuspectEvent, SuspectList, SuspectStatus,
+    Suspects, split_blame,
 };
 pub use refusal::{Reason, Refusal};
 pub use rendezvous::{homes, stable_hash};
--- a/crates/godwitspool-request/src/quarantine.rs
+++ b/crates/godwitspool-request/src/quarantine.rs
@@ -11,7 +11,7 @@
 use godwitspool_types::{HostName, Millis, TargetName};
 
 /// Blame for a whole crash.
-pub const WHOLE_BLAME: u32 = 1_000;
+pub const BLAME_PER_CRASH: u32 = 1_000;
 
 /// A request's part in a crash.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -19,14 +19,14 @@
     /// Part of the blame, in thousandths.
     pub part: u32,
     /// Fingerprint of the request.
-    pub print: u64,
+    pub fingerprint: u64,
     /// Target that crashed.
     pub target: TargetName,
 }
 
 /// What is known of a suspect.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Record {
+pub struct CrashRecord {
     /// Blame, in thousandths of a crash.
     pub blame: u32,
     /// Targets that crashed with the request in flight.
@@ -39,7 +39,7 @@
 
 /// Where a fingerprint stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum SuspectStatus {
     /// Nothing is held against it.
     Clear,
     /// It isn't run.
@@ -53,26 +53,26 @@
 /// When one of them was on trial it bears the blame alone, and those beside it none.
 ///
 /// ```
-/// use godwitspool_request::share_blame;
+/// use godwitspool_request::split_blame;
 /// use godwitspool_types::TargetName;
 ///
 /// let target = TargetName::from("t1");
-/// let blames = share_blame(&target, &[7, 8], None);
+/// let blames = split_blame(&target, &[7, 8], None);
 /// assert_eq!(blames.iter().map(|blame| blame.part).collect::<Vec<_>>(), [500, 500]);
-/// assert_eq!(share_blame(&target, &[7, 8], Some(8)).len(), 1);
+/// assert_eq!(split_blame(&target, &[7, 8], Some(8)).len(), 1);
 /// ```
-pub fn share_blame(target: &TargetName, flying: &[u64], trial: Option<u64>) -> Vec<Blame> {
-    let prints: BTreeSet<u64> = match trial {
-        Some(print) => [print].into(),
-        None => flying.iter().copied().collect(),
+pub fn split_blame(target: &TargetName, in_flight: &[u64], trial: Option<u64>) -> Vec<Blame> {
+    let fingerprints: BTreeSet<u64> = match trial {
+        Some(fingerprint) => [fingerprint].into(),
+        None => in_flight.iter().copied().collect(),
     };
-    let part = WHOLE_BLAME / prints.len().max(1) as u32;
-    let blame = |print| Blame {
+    let part = BLAME_PER_CRASH / fingerprints.len().max(1) as u32;
+    let blame = |fingerprint| Blame {
         part,
-        print,
+        fingerprint,
         target: target.clone(),
     };
-    prints.into_iter().map(blame).collect()
+    fingerprints.into_iter().map(blame).collect()
 }
 
 // ---------------------------------------------------------------------------
@@ -81,24 +81,24 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SuspectEvent {
     /// A host wants to run a copy.
-    Ask {
+    TrialRequested {
         /// The host.
         host: HostName,
         /// What the host knows, in case this home is new.
-        known: Record,
+        known: CrashRecord,
         /// Fingerprint.
-        print: u64,
+        fingerprint: u64,
     },
     /// A target crashed with the request in flight.
     Blamed(Blame),
     /// An operator lifts the quarantine.
     Lift(u64),
     /// The trial ended with no crash.
-    Over {
+    TrialEnded {
         /// Whether the request was answered.
         answered: bool,
         /// Fingerprint.
-        print: u64,
+        fingerprint: u64,
     },
 }
 
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SuspectAction {
     /// All hosts are told where the fingerprint stands.
-    Announce(u64, Record),
+    Announce(u64, CrashRecord),
     /// Another copy is on trial.
     Busy,
     /// All hosts forget the fingerprint.
@@ -119,7 +119,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Case {
-    record: Record,
+    record: CrashRecord,
     seen: Millis,
     trial: Option<Millis>,
 }
@@ -132,7 +132,7 @@
 ///
 /// let mut suspects = Suspects::default();
 /// for target in ["t1", "t2", "t3"] {
-///     let blame = Blame { part: 1_000, print: 7, target: TargetName::from(target) };
+///     let blame = Blame { part: 1_000, fingerprint: 7, target: TargetName::from(target) };
 ///     suspects.decide(SuspectEvent::Blamed(blame), Millis(0));
 /// }
 /// assert_eq!(suspects.quarantined(Millis(1)), [7]);
@@ -153,7 +153,7 @@
     /// Crashes at which a request is quarantined, when it bears enough of the blame.
     const CRASHES: u32 = 3;
     /// Blame at which a request is quarantined: that of two trials.
-    const GUILT: u32 = 2 * WHOLE_BLAME;
+    const GUILT: u32 = 2 * BLAME_PER_CRASH;
     /// Most suspects that are remembered.
     const MOST: usize = 65_536;
 
@@ -162,10 +162,15 @@
         self.cases
             .retain(|_, case| now < case.seen + Self::MEMORY || case.on_trial(now));
         match event {
-            SuspectEvent::Ask { known, print, .. } => vec![self.ask(print, known, now)],
+            SuspectEvent::TrialRequested {
+                known, fingerprint, ..
+            } => vec![self.ask(fingerprint, known, now)],
             SuspectEvent::Blamed(blame) => self.blame(&blame, now),
-            SuspectEvent::Lift(print) => self.clear(print),
-            SuspectEvent::Over { answered, print } => self.end_trial(print, answered),
+            SuspectEvent::Lift(fingerprint) => self.clear(fingerprint),
+            SuspectEvent::TrialEnded {
+                answered,
+                fingerprint,
+            } => self.end_trial(fingerprint, answered),
         }
     }
 
@@ -174,12 +179,12 @@
         self.cases
             .iter()
             .filter(|(_, case)| case.record.until.is_some_and(|until| now < until))
-            .map(|(&print, _)| print)
+            .map(|(&fingerprint, _)| fingerprint)
             .collect()
     }
 
-    fn ask(&mut self, print: u64, known: Record, now: Millis) -> SuspectAction {
-        let case = self.cases.entry(print).or_insert_with(|| Case {
+    fn ask(&mut self, fingerprint: u64, known: CrashRecord, now: Millis) -> SuspectAction {
+        let case = self.cases.entry(fingerprint).or_insert_with(|| Case {
             seen: now,
             ..Case::default()
         });
@@ -195,10 +200,10 @@
     }
 
     fn blame(&mut self, blame: &Blame, now: Millis) -> Vec<SuspectAction> {
-        if self.cases.len() >= Self::MOST && !self.cases.contains_key(&blame.print) {
+        if self.cases.len() >= Self::MOST && !self.cases.contains_key(&blame.fingerprint) {
             return Vec::new();
         }
-        let case = self.cases.entry(blame.print).or_default();
+        let case = self.cases.entry(blame.fingerprint).or_default();
         // Of one crash several hosts tell, but a trial has only one end.
         let another = case.on_trial(now);
         case.seen = now;
@@ -211,23 +216,23 @@
         if record.crashes >= Self::CRASHES && record.blame >= Self::GUILT {
             record.until = Some(now + Self::QUARANTINE);
         }
-        vec![SuspectAction::Announce(blame.print, record.clone())]
+        vec![SuspectAction::Announce(blame.fingerprint, record.clone())]
     }
 
-    fn end_trial(&mut self, print: u64, answered: bool) -> Vec<SuspectAction> {
+    fn end_trial(&mut self, fingerprint: u64, answered: bool) -> Vec<SuspectAction> {
         if answered {
-            return self.clear(print);
+            return self.clear(fingerprint);
         }
-        if let Some(case) = self.cases.get_mut(&print) {
+        if let Some(case) = self.cases.get_mut(&fingerprint) {
             case.trial = None;
         }
         Vec::new()
     }
 
-    fn clear(&mut self, print: u64) -> Vec<SuspectAction> {
-        let known = self.cases.remove(&print).is_some();
+    fn clear(&mut self, fingerprint: u64) -> Vec<SuspectAction> {
+        let known = self.cases.remove(&fingerprint).is_some();
         if known {
-            vec![SuspectAction::Clear(print)]
+            vec![SuspectAction::Clear(fingerprint)]
         } else {
             Vec::new()
         }
@@ -240,7 +245,7 @@
     }
 }
 
-impl Record {
+impl CrashRecord {
     /// Adds what another host knows; it never takes blame away.
     fn merge(&mut self, other: Self) {
         self.blame = self.blame.max(other.blame);
@@ -255,17 +260,17 @@
 /// What a host has been told of suspects.
 ///
 /// ```
-/// use godwitspool_request::{Record, Standing, SuspectList};
+/// use godwitspool_request::{CrashRecord, SuspectList, SuspectStatus};
 /// use godwitspool_types::Millis;
 ///
 /// let mut list = SuspectList::default();
-/// list.announce(7, Record::default(), Millis(0));
-/// assert_eq!(list.standing(7, Millis(1)), Standing::Suspect);
-/// assert_eq!(list.standing(8, Millis(1)), Standing::Clear);
+/// list.announce(7, CrashRecord::default(), Millis(0));
+/// assert_eq!(list.status(7, Millis(1)), SuspectStatus::Suspect);
+/// assert_eq!(list.status(8, Millis(1)), SuspectStatus::Clear);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SuspectList {
-    records: BTreeMap<u64, (Record, Millis)>,
+    records: BTreeMap<u64, (CrashRecord, Millis)>,
 }
 
 impl SuspectList {
@@ -273,41 +278,42 @@
     ///
     /// `until` in the record counts on this host's clock: the receiver turns the span that it was
     /// sent into a time.
-    pub fn announce(&mut self, print: u64, record: Record, now: Millis) {
+    pub fn announce(&mut self, fingerprint: u64, record: CrashRecord, now: Millis) {
         self.records.retain(|_, (_, forget)| now < *forget);
-        if self.records.len() < Suspects::MOST || self.records.contains_key(&print) {
-            self.records.insert(print, (record, now + Suspects::MEMORY));
+        if self.records.len() < Suspects::MOST || self.records.contains_key(&fingerprint) {
+            self.records
+                .insert(fingerprint, (record, now + Suspects::MEMORY));
         }
     }
 
     /// Forgets a fingerprint.
-    pub fn clear(&mut self, print: u64) {
-        self.records.remove(&print);
+    pub fn clear(&mut self, fingerprint: u64) {
+        self.records.remove(&fingerprint);
     }
 
     /// Tells where a fingerprint stands.
-    pub fn standing(&self, print: u64, now: Millis) -> Standing {
-        match self.records.get(&print) {
+    pub fn status(&self, fingerprint: u64, now: Millis) -> SuspectStatus {
+        match self.records.get(&fingerprint) {
             Some((record, _)) if record.until.is_some_and(|until| now < until) => {
-                Standing::Quarantined
+                SuspectStatus::Quarantined
             }
-            Some((_, forget)) if now < *forget => Standing::Suspect,
-            _ => Standing::Clear,
+            Some((_, forget)) if now < *forget => SuspectStatus::Suspect,
+            _ => SuspectStatus::Clear,
         }
     }
 
     /// Returns what is known of a fingerprint, to tell its home.
-    pub fn record(&self, print: u64) -> Record {
+    pub fn record(&self, fingerprint: u64) -> CrashRecord {
         self.records
-            .get(&print)
-            .map_or_else(Record::default, |(record, _)| record.clone())
+            .get(&fingerprint)
+            .map_or_else(CrashRecord::default, |(record, _)| record.clone())
     }
 
     /// Returns the fingerprints that are quarantined.
     pub fn quarantined(&self, now: Millis) -> Vec<u64> {
-        let prints = self.records.keys().copied();
-        prints
-            .filter(|&print| self.standing(print, now) == Standing::Quarantined)
+        let fingerprints = self.records.keys().copied();
+        fingerprints
+            .filter(|&fingerprint| self.status(fingerprint, now) == SuspectStatus::Quarantined)
             .collect()
     }
 }
--- a/crates/godwitspool-request/tests/quarantine.rs
+++ b/crates/godwitspool-request/tests/quarantine.rs
@@ -3,22 +3,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use godwitspool_request::{
-    Blame, Record, Standing, SuspectAction, SuspectEvent, SuspectList, Suspects, share_blame,
+    Blame, CrashRecord, SuspectAction, SuspectEvent, SuspectList, SuspectStatus, Suspects,
+    split_blame,
 };
 use godwitspool_types::{HostName, Millis, TargetName};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::IndexedRandom};
 
-fn ask(print: u64, known: Record) -> SuspectEvent {
-    SuspectEvent::Ask {
+fn ask(fingerprint: u64, known: CrashRecord) -> SuspectEvent {
+    SuspectEvent::TrialRequested {
         host: HostName::from("h"),
         known,
-        print,
+        fingerprint,
     }
 }
 
-fn crash(suspects: &mut Suspects, target: &str, flying: &[u64], trial: Option<u64>) {
-    for blame in share_blame(&TargetName::from(target), flying, trial) {
+fn crash(suspects: &mut Suspects, target: &str, in_flight: &[u64], trial: Option<u64>) {
+    for blame in split_blame(&TargetName::from(target), in_flight, trial) {
         suspects.decide(SuspectEvent::Blamed(blame), Millis(0));
     }
 }
@@ -29,7 +30,7 @@
     crash(&mut suspects, "t1", &[1, 2, 3, 4], None);
     assert!(suspects.quarantined(Millis(0)).is_empty());
     assert_eq!(
-        suspects.decide(ask(3, Record::default()), Millis(1)),
+        suspects.decide(ask(3, CrashRecord::default()), Millis(1)),
         [SuspectAction::Try]
     );
     crash(&mut suspects, "t2", &[3, 5, 6], Some(3));
@@ -38,12 +39,12 @@
         "a target may crash by itself"
     );
     assert_eq!(
-        suspects.decide(ask(3, Record::default()), Millis(2)),
+        suspects.decide(ask(3, CrashRecord::default()), Millis(2)),
         [SuspectAction::Try]
     );
     crash(&mut suspects, "t3", &[3, 5, 7], Some(3));
     assert_eq!(suspects.quarantined(Millis(2)), vec![3_u64]);
-    let refused = suspects.decide(ask(3, Record::default()), Millis(1_000));
+    let refused = suspects.decide(ask(3, CrashRecord::default()), Millis(1_000));
     assert_eq!(
         refused,
         [SuspectAction::Refuse(Suspects::QUARANTINE - Millis(1_000))]
@@ -55,17 +56,20 @@
     let mut suspects = Suspects::default();
     crash(&mut suspects, "t1", &[1], None);
     assert_eq!(
-        suspects.decide(ask(1, Record::default()), Millis(1)),
+        suspects.decide(ask(1, CrashRecord::default()), Millis(1)),
         [SuspectAction::Try]
     );
     assert_eq!(
-        suspects.decide(ask(1, Record::default()), Millis(2)),
+        suspects.decide(ask(1, CrashRecord::default()), Millis(2)),
         [SuspectAction::Busy]
     );
-    let over = |answered| SuspectEvent::Over { answered, print: 1 };
+    let over = |answered| SuspectEvent::TrialEnded {
+        answered,
+        fingerprint: 1,
+    };
     assert_eq!(suspects.decide(over(false), Millis(3)), []);
     assert_eq!(
-        suspects.decide(ask(1, Record::default()), Millis(4)),
+        suspects.decide(ask(1, CrashRecord::default()), Millis(4)),
         [SuspectAction::Try]
     );
     assert_eq!(
@@ -105,7 +109,7 @@
     let mut suspects = Suspects::default();
     crash(&mut suspects, "t1", &[1, 2], None);
     for _ in 0..2 {
-        suspects.decide(ask(1, Record::default()), Millis(0));
+        suspects.decide(ask(1, CrashRecord::default()), Millis(0));
         crash(&mut suspects, "t1", &[1], Some(1));
     }
     assert_eq!(suspects.quarantined(Millis(0)), vec![1_u64]);
@@ -114,14 +118,14 @@
 #[test]
 fn a_new_home_learns_from_the_host_that_asks() {
     let mut list = SuspectList::default();
-    let record = Record {
+    let record = CrashRecord {
         blame: 1_200,
         crashed: BTreeSet::from(["t0", "t1"].map(TargetName::from)),
         crashes: 2,
         until: None,
     };
     list.announce(9, record, Millis(0));
-    assert_eq!(list.standing(9, Millis(1)), Standing::Suspect);
+    assert_eq!(list.status(9, Millis(1)), SuspectStatus::Suspect);
     let mut fresh = Suspects::default();
     assert_eq!(
         fresh.decide(ask(9, list.record(9)), Millis(1)),
@@ -134,16 +138,16 @@
 #[test]
 fn a_list_forgets() {
     let mut list = SuspectList::default();
-    let record = Record {
+    let record = CrashRecord {
         until: Some(Millis(100)),
-        ..Record::default()
+        ..CrashRecord::default()
     };
     list.announce(9, record, Millis(0));
     assert_eq!(list.quarantined(Millis(99)), vec![9_u64]);
-    assert_eq!(list.standing(9, Millis(100)), Standing::Suspect);
-    assert_eq!(list.standing(9, Millis(600_000)), Standing::Clear);
+    assert_eq!(list.status(9, Millis(100)), SuspectStatus::Suspect);
+    assert_eq!(list.status(9, Millis(600_000)), SuspectStatus::Clear);
     list.clear(9);
-    assert_eq!(list.standing(9, Millis(99)), Standing::Clear);
+    assert_eq!(list.status(9, Millis(99)), SuspectStatus::Clear);
 }
 
 /// A fleet in which a poison is sent again and again among innocents; returns the crashes and the
@@ -152,63 +156,67 @@
     const POISON: u64 = 0;
     let mut rng = StdRng::seed_from_u64(seed);
     let mut suspects = Suspects::default();
-    let mut known = BTreeMap::<u64, Standing>::new();
+    let mut known = BTreeMap::<u64, SuspectStatus>::new();
     let mut crashed = BTreeSet::new();
     for turn in 0..200_u64 {
         let now = Millis(turn * 100);
         let alive: Vec<u64> = (0..targets).filter(|id| !crashed.contains(id)).collect();
-        let mut flying = BTreeMap::<u64, Vec<u64>>::new();
+        let mut in_flight = BTreeMap::<u64, Vec<u64>>::new();
         let mut trials = BTreeMap::<u64, u64>::new();
         let innocents = (0..30).map(|_| rng.random_range(1..400));
-        let mut prints: Vec<u64> = innocents.collect();
-        prints.insert(rng.random_range(0..prints.len()), POISON);
-        for print in prints {
+        let mut fingerprints: Vec<u64> = innocents.collect();
+        fingerprints.insert(rng.random_range(0..fingerprints.len()), POISON);
+        for fingerprint in fingerprints {
             let target = *alive.choose(&mut rng).expect("some targets live");
-            match known.get(&print).copied().unwrap_or(Standing::Clear) {
-                Standing::Quarantined => continue,
-                Standing::Suspect => {
-                    let asked = suspects.decide(ask(print, Record::default()), now);
+            match known
+                .get(&fingerprint)
+                .copied()
+                .unwrap_or(SuspectStatus::Clear)
+            {
+                SuspectStatus::Quarantined => continue,
+                SuspectStatus::Suspect => {
+                    let asked = suspects.decide(ask(fingerprint, CrashRecord::default()), now);
                     if trials.contains_key(&target) || asked != [SuspectAction::Try] {
                         continue;
                     }
-                    trials.insert(target, print);
+                    trials.insert(target, fingerprint);
                 }
-                Standing::Clear => {}
+                SuspectStatus::Clear => {}
             }
-            flying.entry(target).or_default().push(print);
+            in_flight.entry(target).or_default().push(fingerprint);
         }
-        for (target, prints) in flying {
+        for (target, fingerprints) in in_flight {
             let trial = trials.get(&target).copied();
             let mut actions = Vec::new();
             let by_itself = turn == 20 && target % 7 == 0;
-            if prints.contains(&POISON) || by_itself {
+            if fingerprints.contains(&POISON) || by_itself {
                 if !by_itself {
                     crashed.insert(target);
                 }
                 let name = TargetName::from(format!("t{target}"));
-                for blame in share_blame(&name, &prints, trial) {
+                for blame in split_blame(&name, &fingerprints, trial) {
                     actions.extend(suspects.decide(SuspectEvent::Blamed(blame), now));
                 }
-            } else if let Some(print) = trial {
-                let over = SuspectEvent::Over {
+            } else if let Some(fingerprint) = trial {
+                let over = SuspectEvent::TrialEnded {
                     answered: true,
-                    print,
+                    fingerprint,
                 };
                 actions.extend(suspects.decide(over, now));
             }
             for action in actions {
                 match action {
-                    SuspectAction::Announce(print, record) => {
+                    SuspectAction::Announce(fingerprint, record) => {
                         let quarantined = record.until.is_some();
                         let standing = if quarantined {
-                            Standing::Quarantined
+                            SuspectStatus::Quarantined
                         } else {
-                            Standing::Suspect
+                            SuspectStatus::Suspect
                         };
-                        known.insert(print, standing);
+                        known.insert(fingerprint, standing);
                     }
-                    SuspectAction::Clear(print) => {
-                        known.remove(&print);
+                    SuspectAction::Clear(fingerprint) => {
+                        known.remove(&fingerprint);
                     }
                     _ => {}
                 }
@@ -218,7 +226,7 @@
     let blamed = suspects
         .quarantined(Millis(1))
         .into_iter()
-        .filter(|print| *print != POISON);
+        .filter(|fingerprint| *fingerprint != POISON);
     (crashed, blamed.collect())
 }
 
@@ -231,10 +239,10 @@
     }
 
     #[test]
-    fn blame_for_a_crash_is_never_more_than_whole(flying in prop::collection::vec(any::<u64>(), 0..40)) {
-        let blames: Vec<Blame> = share_blame(&TargetName::from("t"), &flying, None);
+    fn blame_for_a_crash_is_never_more_than_whole(in_flight in prop::collection::vec(any::<u64>(), 0..40)) {
+        let blames: Vec<Blame> = split_blame(&TargetName::from("t"), &in_flight, None);
         prop_assert!(blames.iter().map(|blame| blame.part).sum::<u32>() <= 1_000);
-        let distinct: BTreeSet<u64> = flying.into_iter().collect();
+        let distinct: BTreeSet<u64> = in_flight.into_iter().collect();
         prop_assert_eq!(blames.len(), distinct.len());
     }
 }
