--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -6,7 +6,7 @@
     CallError, TargetClient,
     engine::{Chunk, Finish, Generate},
 };
-use godwitspool_request::{Piece, Reason, Refusal as Decided, Stitch, Stitched};
+use godwitspool_request::{AnswerAssembler, Reason, Refusal as Decided, StreamToken, TokenOutcome};
 use godwitspool_types::{Millis, Ran, RequestId};
 use tiny_http::Request;
 
@@ -38,7 +38,7 @@
             open: prepared.open,
             shared: Arc::clone(shared),
             span: prepared.span,
-            stitch: Stitch::default(),
+            stitch: AnswerAssembler::default(),
             tries,
         };
         let ending = generation.run();
@@ -146,7 +146,7 @@
     open: OpenGuard,
     shared: Arc<Shared>,
     span: Millis,
-    stitch: Stitch,
+    stitch: AnswerAssembler,
     tries: Tries,
 }
 
@@ -249,7 +249,7 @@
             }
             let Some(chunk) = chunk else {
                 self.stitch.terminate(attempt);
-                return if self.stitch.is_whole() {
+                return if self.stitch.is_complete() {
                     Ok(Ended::Whole)
                 } else {
                     Err(CallError::Truncated)
@@ -268,21 +268,21 @@
         };
         let last = matches!(choice.finish_reason, Some(Finish::Length | Finish::Stop));
         let early = choice.finish_reason.is_some() && !last;
-        let piece = Piece {
+        let piece = StreamToken {
             attempt,
             index: choice.index,
             last,
             text: choice.delta.content.clone(),
         };
         let stitched = self.stitch.push(&piece);
-        if stitched == Stitched::Gap {
+        if stitched == TokenOutcome::Gap {
             let cause = format!("token {} is missing", self.stitch.tokens().len());
             return Err(CallError::Protocol { cause });
         }
         if early {
             return Err(CallError::Truncated);
         }
-        if stitched == Stitched::Next || last {
+        if stitched == TokenOutcome::Next || last {
             chunk.id = self.tries.work.id.to_string();
             if self.answering.send(&chunk).is_err() {
                 return Ok(Some(Ended::Left));
--- a/crates/godwitspool-request/src/lib.rs
+++ b/crates/godwitspool-request/src/lib.rs
@@ -43,7 +43,7 @@
 };
 pub use refusal::{Reason, Refusal};
 pub use rendezvous::{homes, stable_hash};
-pub use resume::{Piece, Stitch, Stitched};
+pub use resume::{AnswerAssembler, StreamToken, TokenOutcome};
 pub use retry::{Attempts, RetryBudget, RetryReason, Verdict};
 pub use silence::{Line, LineAction, Pace, Wait, decide_silence};
 pub use target::{LoadReport, TargetFacts, TargetId};
--- a/crates/godwitspool-request/src/resume.rs
+++ b/crates/godwitspool-request/src/resume.rs
@@ -2,7 +2,7 @@
 
 /// A chunk of a target's stream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Piece {
+pub struct StreamToken {
     /// Attempt whose stream carried the chunk, from 0.
     pub attempt: u32,
     /// Index of the token in the whole answer, from 0.
@@ -15,7 +15,7 @@
 
 /// What becomes of a chunk.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Stitched {
+pub enum TokenOutcome {
     /// The chunk belongs to a stream that is over, or repeats a token: it is dropped.
     Dropped,
     /// Tokens are missing before the chunk: the stream can't be used any further.
@@ -29,41 +29,41 @@
 /// An answer that is put together from the streams of one or several targets.
 ///
 /// ```
-/// use godwitspool_request::{Piece, Stitch, Stitched};
+/// use godwitspool_request::{AnswerAssembler, StreamToken, TokenOutcome};
 ///
-/// let mut stitch = Stitch::default();
-/// let piece = Piece { text: "dye".to_owned(), ..Piece::default() };
-/// assert_eq!(stitch.push(&piece), Stitched::Next);
-/// assert_eq!(stitch.push(&piece), Stitched::Dropped);
-/// assert_eq!(stitch.tokens(), ["dye"]);
+/// let mut assembler = AnswerAssembler::default();
+/// let token = StreamToken { text: "dye".to_owned(), ..StreamToken::default() };
+/// assert_eq!(assembler.push(&token), TokenOutcome::Next);
+/// assert_eq!(assembler.push(&token), TokenOutcome::Dropped);
+/// assert_eq!(assembler.tokens(), ["dye"]);
 /// ```
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Stitch {
+pub struct AnswerAssembler {
     attempt: u32,
     finished: bool,
     terminated: bool,
     tokens: Vec<String>,
 }
 
-impl Stitch {
-    /// Takes a chunk; a token that is [`Stitched::Next`] is passed on to the caller.
-    pub fn push(&mut self, piece: &Piece) -> Stitched {
-        if piece.attempt != self.attempt || self.finished {
-            return Stitched::Dropped;
+impl AnswerAssembler {
+    /// Takes a chunk; a token that is [`TokenOutcome::Next`] is passed on to the caller.
+    pub fn push(&mut self, token: &StreamToken) -> TokenOutcome {
+        if token.attempt != self.attempt || self.finished {
+            return TokenOutcome::Dropped;
         }
         let next = self.tokens.len() as u32;
-        let stitched = match (piece.text.is_empty(), piece.index) {
-            (true, index) if index > next => Stitched::Gap,
-            (true, _) => Stitched::Nothing,
-            (false, index) if index > next => Stitched::Gap,
-            (false, index) if index < next => Stitched::Dropped,
-            (false, _) => Stitched::Next,
+        let outcome = match (token.text.is_empty(), token.index) {
+            (true, index) if index > next => TokenOutcome::Gap,
+            (true, _) => TokenOutcome::Nothing,
+            (false, index) if index > next => TokenOutcome::Gap,
+            (false, index) if index < next => TokenOutcome::Dropped,
+            (false, _) => TokenOutcome::Next,
         };
-        if stitched == Stitched::Next {
-            self.tokens.push(piece.text.clone());
+        if outcome == TokenOutcome::Next {
+            self.tokens.push(token.text.clone());
         }
-        self.finished = piece.last && stitched != Stitched::Gap;
-        stitched
+        self.finished = token.last && outcome != TokenOutcome::Gap;
+        outcome
     }
 
     /// Takes the stream's terminator.
@@ -74,12 +74,12 @@
     /// Begins another attempt and returns its number; chunks of earlier ones are dropped.
     ///
     /// ```
-    /// use godwitspool_request::{Piece, Stitch, Stitched};
+    /// use godwitspool_request::{AnswerAssembler, StreamToken, TokenOutcome};
     ///
-    /// let mut stitch = Stitch::default();
-    /// assert_eq!(stitch.restart(), 1);
-    /// let late = Piece { text: "dye".to_owned(), ..Piece::default() };
-    /// assert_eq!(stitch.push(&late), Stitched::Dropped);
+    /// let mut assembler = AnswerAssembler::default();
+    /// assert_eq!(assembler.restart(), 1);
+    /// let late = StreamToken { text: "dye".to_owned(), ..StreamToken::default() };
+    /// assert_eq!(assembler.push(&late), TokenOutcome::Dropped);
     /// ```
     pub fn restart(&mut self) -> u32 {
         self.attempt += 1;
@@ -99,7 +99,7 @@
     }
 
     /// Tells whether the answer ended with a proper end and the terminator.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.terminated
     }
 }
--- a/crates/godwitspool-request/tests/resume.rs
+++ b/crates/godwitspool-request/tests/resume.rs
@@ -1,10 +1,10 @@
 //! Streams that are put together from several targets.
 
-use godwitspool_request::{Piece, Stitch, Stitched};
+use godwitspool_request::{AnswerAssembler, StreamToken, TokenOutcome};
 use proptest::prelude::*;
 
-fn piece(attempt: u32, index: u32, last: bool) -> Piece {
-    Piece {
+fn token(attempt: u32, index: u32, last: bool) -> StreamToken {
+    StreamToken {
         attempt,
         index,
         text: format!("t{index}"),
@@ -14,34 +14,34 @@
 
 #[test]
 fn a_gap_is_never_passed_on() {
-    let mut stitch = Stitch::default();
-    assert_eq!(stitch.push(&piece(0, 1, true)), Stitched::Gap);
-    assert!(!stitch.is_finished());
-    let only_end = Piece {
+    let mut assembler = AnswerAssembler::default();
+    assert_eq!(assembler.push(&token(0, 1, true)), TokenOutcome::Gap);
+    assert!(!assembler.is_finished());
+    let only_end = StreamToken {
         index: 1,
         last: true,
-        ..Piece::default()
+        ..StreamToken::default()
     };
-    assert_eq!(stitch.push(&only_end), Stitched::Gap);
-    stitch.terminate(0);
-    assert!(!stitch.is_whole());
+    assert_eq!(assembler.push(&only_end), TokenOutcome::Gap);
+    assembler.terminate(0);
+    assert!(!assembler.is_complete());
 }
 
 #[test]
 fn only_a_named_end_and_the_terminator_make_an_answer_whole() {
-    let mut stitch = Stitch::default();
-    stitch.push(&piece(0, 0, false));
-    stitch.terminate(0);
-    assert!(!stitch.is_whole());
-    stitch.restart();
-    stitch.push(&piece(1, 1, true));
-    stitch.terminate(0);
+    let mut assembler = AnswerAssembler::default();
+    assembler.push(&token(0, 0, false));
+    assembler.terminate(0);
+    assert!(!assembler.is_complete());
+    assembler.restart();
+    assembler.push(&token(1, 1, true));
+    assembler.terminate(0);
     assert!(
-        !stitch.is_whole(),
+        !assembler.is_complete(),
         "a terminator of an old stream ends nothing"
     );
-    stitch.terminate(1);
-    assert!(stitch.is_whole());
+    assembler.terminate(1);
+    assert!(assembler.is_complete());
 }
 
 #[derive(Clone, Debug)]
@@ -62,22 +62,22 @@
     /// from the attempt that is current.
     #[test]
     fn no_token_twice_or_missing(steps in prop::collection::vec(step(), 0..400)) {
-        let mut stitch = Stitch::default();
+        let mut assembler = AnswerAssembler::default();
         let (mut seen, mut current) = (Vec::new(), 0);
         for step in steps {
             match step {
-                Step::Restart => current = stitch.restart(),
+                Step::Restart => current = assembler.restart(),
                 Step::Push(attempt, index) => {
-                    let piece = piece(attempt, index, false);
-                    if stitch.push(&piece) == Stitched::Next {
+                    let token = token(attempt, index, false);
+                    if assembler.push(&token) == TokenOutcome::Next {
                         prop_assert_eq!(attempt, current);
-                        seen.push(piece.text);
+                        seen.push(token.text);
                     }
                 }
             }
         }
         let whole: Vec<String> = (0..seen.len()).map(|index| format!("t{index}")).collect();
         prop_assert_eq!(&seen, &whole);
-        prop_assert_eq!(stitch.tokens(), &whole[..]);
+        prop_assert_eq!(assembler.tokens(), &whole[..]);
     }
 }
