--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -14,8 +14,9 @@
     platform::{TargetEntry, TargetState},
 };
 use godwitspool_request::{
-    Admission, AdmissionAction, AdmissionEvent, Choice, Health, LoadReport, Need, Pace, Reason,
-    Refusal, RetryBudget, RetryReason, TargetFacts, TargetId, Targets, Ticket, Verdict, Wait,
+    Admission, AdmissionAction, AdmissionEvent, Choice, Health, IdleTimeout, LoadReport, Need,
+    Reason, Refusal, RetryBudget, RetryReason, TargetFacts, TargetId, Targets, Ticket, Verdict,
+    Wait,
 };
 use godwitspool_types::{ClassName, Dc, Millis, RequestId, ServiceName, TargetName, Workspace};
 
@@ -39,15 +40,15 @@
 /// Paces of the reads from one target.
 #[derive(Clone, Debug)]
 pub(crate) struct Paces {
-    pub(crate) first: Pace,
-    pub(crate) next: Pace,
+    pub(crate) first: IdleTimeout,
+    pub(crate) next: IdleTimeout,
 }
 
 impl Default for Paces {
     fn default() -> Self {
         Self {
-            first: Pace::new(Wait::First),
-            next: Pace::new(Wait::Next),
+            first: IdleTimeout::new(Wait::FirstByte),
+            next: IdleTimeout::new(Wait::NextByte),
         }
     }
 }
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -232,7 +232,7 @@
         let mut heard = serving.now();
         let patience = self.tries.work.patience(heard);
         let client = self.client();
-        let mut stream = client.generate(&self.generate, paces.first.bound().min(patience))?;
+        let mut stream = client.generate(&self.generate, paces.first.current().min(patience))?;
         let mut first = true;
         loop {
             let chunk = stream.next_chunk()?;
@@ -243,7 +243,7 @@
                 paces.next.observe(now - heard);
             }
             heard = now;
-            stream.set_idle(paces.next.bound());
+            stream.set_idle(paces.next.current());
             if self.open.is_cut() {
                 return Ok(Ended::Cut);
             }
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -176,7 +176,7 @@
     let mut paces = serving.dispatch.paces(&tries.on.target);
     let patience = tries.work.patience(sent);
     let client = shared.client(tries.on.address);
-    let outcome = client.call(&prepared.call, paces.first.bound().min(patience));
+    let outcome = client.call(&prepared.call, paces.first.current().min(patience));
     match &outcome {
         Ok(_) => {
             paces.first.observe(serving.now() - sent);
--- a/crates/godwitspool-measure/src/serving/silence.rs
+++ b/crates/godwitspool-measure/src/serving/silence.rs
@@ -1,6 +1,6 @@
 //! Time to find a silent connection, and live streams that are cut.
 
-use godwitspool_request::{Pace, Wait};
+use godwitspool_request::{IdleTimeout, Wait};
 use godwitspool_types::Millis;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -99,15 +99,15 @@
 fn simulate(policy: Policy, gaps: Gaps, pace_ms: f64, seed: u64) -> (Vec<u64>, u32) {
     let mut rng = StdRng::seed_from_u64(seed);
     let (mut found, mut cut) = (Vec::new(), 0);
-    let mut target = Pace::new(Wait::Next);
+    let mut target = IdleTimeout::new(Wait::NextByte);
     for _ in 0..STREAMS {
         let mut pace = match policy {
-            Policy::LearntFromTarget => Pace::like(&target),
-            _ => Pace::new(Wait::Next),
+            Policy::LearntFromTarget => IdleTimeout::seeded_from(&target),
+            _ => IdleTimeout::new(Wait::NextByte),
         };
-        let bound = |pace: &Pace| match policy {
+        let bound = |pace: &IdleTimeout| match policy {
             Policy::Fixed(bound) => bound,
-            _ => pace.bound(),
+            _ => pace.current(),
         };
         let silent = rng.random_range(10..TOKENS);
         let mut alive = true;
--- a/crates/godwitspool-request/src/lib.rs
+++ b/crates/godwitspool-request/src/lib.rs
@@ -45,7 +45,7 @@
 pub use rendezvous::{homes, stable_hash};
 pub use resume::{AnswerAssembler, StreamToken, TokenOutcome};
 pub use retry::{Attempts, RetryBudget, RetryReason, Verdict};
-pub use silence::{Line, LineAction, Pace, Wait, decide_silence};
+pub use silence::{ConnectionAction, ConnectionState, IdleTimeout, Wait, check_idle_connections};
 pub use target::{LoadReport, TargetFacts, TargetId};
 pub use targets::{Choice, Need, Targets};
 pub use training_share::TrainingShare;
--- a/crates/godwitspool-request/src/silence.rs
+++ b/crates/godwitspool-request/src/silence.rs
@@ -1,4 +1,4 @@
-//! Finds connections that went silent for good, by an idle bound learnt from the stream's pace.
+//! Finds connections that went silent for good, by an idle bound learnt from the stream's timeout.
 
 use godwitspool_types::Millis;
 
@@ -6,37 +6,37 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Wait {
     /// The first byte of an answer.
-    First,
+    FirstByte,
     /// The next byte of an answer that flows.
-    Next,
+    NextByte,
 }
 
-/// The pace of one kind of read, as the reads of a target have shown it.
+/// The timeout of one kind of read, as the reads of a target have shown it.
 ///
 /// ```
-/// use godwitspool_request::{Pace, Wait};
+/// use godwitspool_request::{IdleTimeout, Wait};
 /// use godwitspool_types::Millis;
 ///
-/// let mut pace = Pace::new(Wait::Next);
-/// (0..100).for_each(|_| pace.observe(Millis(50)));
-/// assert!(pace.bound() < Millis(2_000));
+/// let mut timeout = IdleTimeout::new(Wait::NextByte);
+/// (0..100).for_each(|_| timeout.observe(Millis(50)));
+/// assert!(timeout.current() < Millis(2_000));
 /// ```
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pace {
+pub struct IdleTimeout {
     count: u32,
     mean_ms: f64,
     peak_ms: f64,
     wait: Wait,
 }
 
-impl Pace {
+impl IdleTimeout {
     /// Gaps before the bound rests on them.
     const ENOUGH: u32 = 8;
     /// Shortest bound between bytes.
     const SHORTEST_NEXT: Millis = Millis(1_000);
     /// Shortest bound for a first byte, which waits for the target's queue too.
     const SHORTEST_FIRST: Millis = Millis(3_000);
-    /// Longest bound, which holds while the pace isn't known.
+    /// Longest bound, which holds while the timeout isn't known.
     const LONGEST: Millis = Millis(60_000);
     /// How many times the longest gap is waited.
     const PEAKS: f64 = 6.0;
@@ -60,14 +60,14 @@
     /// Starts from what other streams of the target have shown.
     ///
     /// ```
-    /// use godwitspool_request::{Pace, Wait};
+    /// use godwitspool_request::{IdleTimeout, Wait};
     /// use godwitspool_types::Millis;
     ///
-    /// let mut target = Pace::new(Wait::Next);
+    /// let mut target = IdleTimeout::new(Wait::NextByte);
     /// (0..20).for_each(|_| target.observe(Millis(50)));
-    /// assert_eq!(Pace::like(&target).bound(), target.bound());
+    /// assert_eq!(IdleTimeout::seeded_from(&target).current(), target.current());
     /// ```
-    pub fn like(other: &Self) -> Self {
+    pub fn seeded_from(other: &Self) -> Self {
         other.clone()
     }
 
@@ -80,8 +80,8 @@
         self.peak_ms = (self.peak_ms * Self::FADE).max(gap_ms);
     }
 
-    /// Returns how long the connection may be idle before it is condemned.
-    pub fn bound(&self) -> Millis {
+    /// Returns how long the connection may be idle before it is expired.
+    pub fn current(&self) -> Millis {
         if self.count < Self::ENOUGH {
             return Self::LONGEST;
         }
@@ -89,8 +89,8 @@
         let doubt = 1.0 + f64::from(Self::ENOUGH) / f64::from(self.count);
         let learnt = (self.peak_ms * Self::PEAKS).max(self.mean_ms * Self::MEANS) * doubt;
         let shortest = match self.wait {
-            Wait::First => Self::SHORTEST_FIRST,
-            Wait::Next => Self::SHORTEST_NEXT,
+            Wait::FirstByte => Self::SHORTEST_FIRST,
+            Wait::NextByte => Self::SHORTEST_NEXT,
         };
         Millis(learnt as u64).clamp(shortest, Self::LONGEST)
     }
@@ -98,64 +98,68 @@
 
 /// A connection among those to one target.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ConnectionState {
     /// Identity of the connection.
     pub id: u64,
     /// When the last byte came.
-    pub heard: Millis,
-    /// Pace of its reads; `None` while the connection waits in the pool.
-    pub pace: Option<Pace>,
+    pub last_byte: Millis,
+    /// IdleTimeout of its reads; `None` while the connection waits in the pool.
+    pub timeout: Option<IdleTimeout>,
 }
 
 /// What is done about a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LineAction {
+pub enum ConnectionAction {
     /// The connection is closed and never used again; its work moves.
-    Condemn(u64),
+    Close(u64),
     /// The target is asked on a new connection whether the work of this one goes on.
     Probe(u64),
 }
 
 /// Decides on the connections to one target.
 ///
-/// A connection that passes its own bound is condemned alone. Its siblings are probed when they
+/// A connection that passes its own bound is expired alone. Its siblings are probed when they
 /// have been quiet for half of their bound, or at once when they wait in the pool.
 ///
 /// ```
-/// use godwitspool_request::{decide_silence, Line, LineAction, Pace, Wait};
+/// use godwitspool_request::{check_idle_connections, ConnectionState, ConnectionAction, IdleTimeout, Wait};
 /// use godwitspool_types::Millis;
 ///
-/// let mut pace = Pace::new(Wait::Next);
-/// (0..80).for_each(|_| pace.observe(Millis(50)));
-/// let lines = [
-///     Line { id: 1, heard: Millis(0), pace: Some(pace.clone()) },
-///     Line { id: 2, heard: Millis(1_900), pace: Some(pace) },
-///     Line { id: 3, heard: Millis(0), pace: None },
+/// let mut timeout = IdleTimeout::new(Wait::NextByte);
+/// (0..80).for_each(|_| timeout.observe(Millis(50)));
+/// let connections = [
+///     ConnectionState { id: 1, last_byte: Millis(0), timeout: Some(timeout.clone()) },
+///     ConnectionState { id: 2, last_byte: Millis(1_900), timeout: Some(timeout) },
+///     ConnectionState { id: 3, last_byte: Millis(0), timeout: None },
 /// ];
-/// let actions = decide_silence(&lines, Millis(2_000));
-/// assert_eq!(actions, [LineAction::Condemn(1), LineAction::Probe(3)]);
+/// let actions = check_idle_connections(&connections, Millis(2_000));
+/// assert_eq!(actions, [ConnectionAction::Close(1), ConnectionAction::Probe(3)]);
 /// ```
-pub fn decide_silence(lines: &[Line], now: Millis) -> Vec<LineAction> {
-    let idle = |line: &Line| now - line.heard;
-    let condemned = |line: &Line| {
-        line.pace
+pub fn check_idle_connections(
+    connections: &[ConnectionState],
+    now: Millis,
+) -> Vec<ConnectionAction> {
+    let idle = |connection: &ConnectionState| now - connection.last_byte;
+    let expired = |connection: &ConnectionState| {
+        connection
+            .timeout
             .as_ref()
-            .is_some_and(|pace| idle(line) > pace.bound())
+            .is_some_and(|timeout| idle(connection) > timeout.current())
     };
-    if !lines.iter().any(condemned) {
+    if !connections.iter().any(expired) {
         return Vec::new();
     }
-    let quiet = |line: &Line| match &line.pace {
-        Some(pace) => idle(line).0 * 2 > pace.bound().0,
+    let quiet = |connection: &ConnectionState| match &connection.timeout {
+        Some(timeout) => idle(connection).0 * 2 > timeout.current().0,
         None => true,
     };
-    lines
+    connections
         .iter()
-        .filter_map(|line| {
-            if condemned(line) {
-                Some(LineAction::Condemn(line.id))
+        .filter_map(|connection| {
+            if expired(connection) {
+                Some(ConnectionAction::Close(connection.id))
             } else {
-                quiet(line).then_some(LineAction::Probe(line.id))
+                quiet(connection).then_some(ConnectionAction::Probe(connection.id))
             }
         })
         .collect()
