--- a/crates/godwitspool-entry/src/request/authorize.rs
+++ b/crates/godwitspool-entry/src/request/authorize.rs
@@ -90,7 +90,7 @@
         let known = self.known();
         let open = self.open_requests();
         let listed: Vec<_> = open.iter().map(|(&id, open)| (id, open.digest)).collect();
-        for id in known.table.cut(&listed, now - known.confirmed) {
+        for id in known.table.unauthorized(&listed, now - known.confirmed) {
             if let Some(open) = open.get(&id) {
                 open.cut.store(true, Ordering::Release);
             }
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -14,9 +14,9 @@
     platform::{TargetEntry, TargetState},
 };
 use godwitspool_request::{
-    Admission, AdmissionAction, AdmissionEvent, Choice, Health, IdleTimeout, LoadReport, Need,
-    Reason, Refusal, RetryBudget, RetryReason, TargetFacts, TargetId, Targets, Ticket, Verdict,
-    Wait,
+    Admission, AdmissionAction, AdmissionEvent, AttemptOutcome, Choice, IdleTimeout, LoadReport,
+    Need, Reason, Refusal, RetryBudget, RetryDecision, RetryReason, TargetFacts, TargetId, Targets,
+    Ticket, Wait,
 };
 use godwitspool_types::{ClassName, Dc, Millis, RequestId, ServiceName, TargetName, Workspace};
 
@@ -242,10 +242,10 @@
     }
 
     /// Records how an attempt went.
-    pub(crate) fn record(&self, work: &Work, on: &Assignment, health: Health, now: Millis) {
+    pub(crate) fn record(&self, work: &Work, on: &Assignment, health: AttemptOutcome, now: Millis) {
         let mut state = self.lock();
         state.targets.record(on.id, health, now, &mut rand::rng());
-        if health == Health::Answered {
+        if health == AttemptOutcome::Answered {
             let State {
                 budgets, classes, ..
             } = &mut *state;
@@ -263,7 +263,7 @@
         reason: RetryReason,
         after: Option<Millis>,
         now: Millis,
-    ) -> Verdict {
+    ) -> RetryDecision {
         let mut state = self.lock();
         let State {
             budgets, classes, ..
@@ -386,7 +386,7 @@
         reclaimable: class.is_some_and(|class| class.reclaimable),
         service: entry.service.clone(),
         slots: service.map_or(DEFAULT_SLOTS, |service| service.slots),
-        takes: entry.state == TargetState::Live,
+        accepts_work: entry.state == TargetState::Live,
         target: entry.target.clone(),
     }
 }
--- a/crates/godwitspool-entry/src/request/tries.rs
+++ b/crates/godwitspool-entry/src/request/tries.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, thread, time::Duration};
 
 use godwitspool_connection::CallError;
-use godwitspool_request::{Health, Reason, Refusal, RetryReason, Verdict};
+use godwitspool_request::{AttemptOutcome, Reason, Refusal, RetryDecision, RetryReason};
 use godwitspool_types::Millis;
 
 use crate::{
@@ -25,7 +25,7 @@
 pub(crate) struct Failed {
     pub(crate) after: Option<Millis>,
     pub(crate) cause: String,
-    pub(crate) health: Option<Health>,
+    pub(crate) health: Option<AttemptOutcome>,
     pub(crate) reason: RetryReason,
 }
 
@@ -38,14 +38,18 @@
             RetryReason::TargetLost
         };
         let (reason, health) = match error {
-            CallError::NotSent { .. } => (RetryReason::ConnectFailed, Some(Health::Unreachable)),
+            CallError::NotSent { .. } => (
+                RetryReason::ConnectFailed,
+                Some(AttemptOutcome::Unreachable),
+            ),
             CallError::Status {
                 status: 429 | 503, ..
             } => (RetryReason::TargetRefused, None),
-            CallError::Silent { .. } if !flowing => {
-                (RetryReason::TargetSilent, Some(Health::Failed(caller)))
-            }
-            _ => (lost, Some(Health::Failed(caller))),
+            CallError::Silent { .. } if !flowing => (
+                RetryReason::TargetSilent,
+                Some(AttemptOutcome::Failed(caller)),
+            ),
+            _ => (lost, Some(AttemptOutcome::Failed(caller))),
         };
         let after = match error {
             CallError::Status { retry_after, .. } => retry_after.map(|s| Millis(s * 1_000)),
@@ -109,7 +113,7 @@
     pub(crate) fn answered(&mut self) {
         let now = self.shared.serving.now();
         let dispatch = &self.shared.serving.dispatch;
-        dispatch.record(&self.work, &self.on, Health::Answered, now);
+        dispatch.record(&self.work, &self.on, AttemptOutcome::Answered, now);
         if std::mem::take(&mut self.trial) {
             suspicion::leave(&self.shared, self.work.need.fingerprint, true);
         }
@@ -137,8 +141,8 @@
             self.shared.serving.now(),
         );
         match verdict {
-            Verdict::Refuse(refusal) => Err(refusal),
-            Verdict::Retry(pause) => {
+            RetryDecision::Refuse(refusal) => Err(refusal),
+            RetryDecision::Retry(pause) => {
                 thread::sleep(pause.duration());
                 self.move_on(failed.reason)
             }
@@ -166,7 +170,7 @@
     fn move_on(&mut self, reason: RetryReason) -> Result<(), Refusal> {
         self.work.need.tried.push(self.on.id);
         let refused = |refusal: Refusal| Refusal {
-            ran: if self.work.attempts.touched {
+            ran: if self.work.attempts.maybe_ran {
                 godwitspool_types::Ran::Unknown
             } else {
                 refusal.ran
--- a/crates/godwitspool-measure/src/serving/decisions.rs
+++ b/crates/godwitspool-measure/src/serving/decisions.rs
@@ -68,7 +68,7 @@
             dc: Dc::from("north"),
             service: ServiceName::from(SERVICE),
             slots: 16,
-            takes: true,
+            accepts_work: true,
             target: name.clone(),
             ..TargetFacts::default()
         });
--- a/crates/godwitspool-measure/src/serving/fleet.rs
+++ b/crates/godwitspool-measure/src/serving/fleet.rs
@@ -356,7 +356,7 @@
         dc: Dc::from("north"),
         service: SERVICE.into(),
         slots,
-        takes: true,
+        accepts_work: true,
         target: TargetName::from(format!("t{index}")),
         ..TargetFacts::default()
     }
--- a/crates/godwitspool-measure/src/serving/retries.rs
+++ b/crates/godwitspool-measure/src/serving/retries.rs
@@ -1,8 +1,8 @@
 //! Extra load from retries when a third of the targets fail.
 
 use godwitspool_request::{
-    Attempts, Choice, Health, Need, RetryBudget, RetryReason, TargetFacts, Targets, Verdict,
-    stable_hash,
+    AttemptOutcome, Attempts, Choice, Need, RetryBudget, RetryDecision, RetryReason, TargetFacts,
+    Targets, stable_hash,
 };
 use godwitspool_types::{Dc, Millis, TargetName};
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -78,7 +78,7 @@
             dc: Dc::from("north"),
             service: "s".into(),
             slots: 1_000,
-            takes: true,
+            accepts_work: true,
             target: TargetName::from(format!("t{index}")),
             ..TargetFacts::default()
         });
@@ -109,16 +109,16 @@
             ok = index >= failing;
             let budget = &mut workspaces[caller as usize];
             if ok {
-                targets.record(id, Health::Answered, now, &mut rng);
+                targets.record(id, AttemptOutcome::Answered, now, &mut rng);
                 budget.succeed();
                 class.succeed();
                 break;
             }
-            targets.record(id, Health::Failed(caller), now, &mut rng);
+            targets.record(id, AttemptOutcome::Failed(caller), now, &mut rng);
             need.tried.push(id);
             let reason = RetryReason::TargetLost;
             let verdict = attempts.fail(reason, None, [budget, &mut class], now, &mut rng);
-            if matches!(verdict, Verdict::Refuse(_)) {
+            if matches!(verdict, RetryDecision::Refuse(_)) {
                 break;
             }
         }
--- a/crates/godwitspool-measure/src/slopes/serving.rs
+++ b/crates/godwitspool-measure/src/slopes/serving.rs
@@ -30,7 +30,7 @@
             reclaimable: index % 2 == 0,
             service: "party/assistant".into(),
             slots: 64,
-            takes: true,
+            accepts_work: true,
             target: format!("target-{index}").into(),
             ..TargetFacts::default()
         });
--- a/crates/godwitspool-request/src/breaker.rs
+++ b/crates/godwitspool-request/src/breaker.rs
@@ -5,7 +5,7 @@
 
 /// How an attempt on a target went, as far as the target's health is concerned.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Health {
+pub enum AttemptOutcome {
     /// The target failed in a way that no request can cause, such as a refused connection.
     Unreachable,
     /// The target failed while it ran a request of the caller with this hash.
@@ -20,12 +20,12 @@
 /// workspaces have met it with no success between; until then it keeps out its own caller alone.
 ///
 /// ```
-/// use godwitspool_request::{Breaker, Health};
+/// use godwitspool_request::{AttemptOutcome, Breaker};
 /// use godwitspool_types::Millis;
 ///
 /// let mut breaker = Breaker::default();
 /// for _ in 0..10 {
-///     breaker.record(Health::Failed(1), Millis(0), &mut rand::rng());
+///     breaker.record(AttemptOutcome::Failed(1), Millis(0), &mut rand::rng());
 /// }
 /// assert!(!breaker.allows(1, Millis(0)));
 /// assert!(breaker.allows(2, Millis(0)));
@@ -65,11 +65,11 @@
     }
 
     /// Records how an attempt went.
-    pub fn record(&mut self, health: Health, now: Millis, rng: &mut impl Rng) {
+    pub fn record(&mut self, health: AttemptOutcome, now: Millis, rng: &mut impl Rng) {
         match health {
-            Health::Answered => *self = Self::default(),
-            Health::Unreachable => self.unreachable += 1,
-            Health::Failed(caller) => self.blame(caller),
+            AttemptOutcome::Answered => *self = Self::default(),
+            AttemptOutcome::Unreachable => self.unreachable += 1,
+            AttemptOutcome::Failed(caller) => self.blame(caller),
         }
         if self.trips() && self.closed(now) {
             self.open(now, rng);
--- a/crates/godwitspool-request/src/keys.rs
+++ b/crates/godwitspool-request/src/keys.rs
@@ -105,9 +105,9 @@
     ///
     /// let table = KeyTable::default();
     /// let open = [(RequestId(1), Key::from("k").digest())];
-    /// assert_eq!(table.cut(&open, Millis::ZERO), [RequestId(1)]);
+    /// assert_eq!(table.unauthorized(&open, Millis::ZERO), [RequestId(1)]);
     /// ```
-    pub fn cut(&self, open: &[(RequestId, KeyDigest)], age: Millis) -> Vec<RequestId> {
+    pub fn unauthorized(&self, open: &[(RequestId, KeyDigest)], age: Millis) -> Vec<RequestId> {
         open.iter()
             .filter(|(_, digest)| !self.holds(digest, age))
             .map(|&(id, _)| id)
--- a/crates/godwitspool-request/src/lib.rs
+++ b/crates/godwitspool-request/src/lib.rs
@@ -30,7 +30,7 @@
 mod training_share;
 
 pub use admission::{Admission, AdmissionAction, AdmissionEvent, Ticket};
-pub use breaker::{Breaker, Health};
+pub use breaker::{AttemptOutcome, Breaker};
 pub use idempotency::{
     ClaimAnswer, Fate, Handed, IdempotencyKey, KEY_HOMES, KeyHome, KeyLoss, KeyRecord,
 };
@@ -44,7 +44,7 @@
 pub use refusal::{Reason, Refusal};
 pub use rendezvous::{homes, stable_hash};
 pub use resume::{AnswerAssembler, StreamToken, TokenOutcome};
-pub use retry::{Attempts, RetryBudget, RetryReason, Verdict};
+pub use retry::{Attempts, RetryBudget, RetryDecision, RetryReason};
 pub use silence::{ConnectionAction, ConnectionState, IdleTimeout, Wait, check_idle_connections};
 pub use target::{LoadReport, TargetFacts, TargetId};
 pub use targets::{Choice, Need, Targets};
--- a/crates/godwitspool-request/src/retry.rs
+++ b/crates/godwitspool-request/src/retry.rs
@@ -153,12 +153,12 @@
     /// Attempts that started from nothing again.
     pub retried: u32,
     /// Whether an attempt may have run.
-    pub touched: bool,
+    pub maybe_ran: bool,
 }
 
 /// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum RetryDecision {
     /// The request is refused.
     Refuse(Refusal),
     /// The request is tried again after a pause.
@@ -180,19 +180,19 @@
     /// target work more, and is bounded by the number of attempts alone.
     ///
     /// ```
-    /// use godwitspool_request::{Attempts, Reason, RetryBudget, RetryReason, Verdict};
+    /// use godwitspool_request::{Attempts, Reason, RetryBudget, RetryDecision, RetryReason};
     /// use godwitspool_types::Millis;
     ///
     /// let mut attempts = Attempts { deadline: Millis(1_000), ..Attempts::default() };
     /// let (mut workspace, mut class) = (RetryBudget::default(), RetryBudget::default());
-    /// let verdict = attempts.fail(
+    /// let decision = attempts.fail(
     ///     RetryReason::TargetLost,
     ///     None,
     ///     [&mut workspace, &mut class],
     ///     Millis::ZERO,
     ///     &mut rand::rng(),
     /// );
-    /// assert_eq!(verdict, Verdict::Refuse(Reason::TargetLost.into()));
+    /// assert_eq!(decision, RetryDecision::Refuse(Reason::TargetLost.into()));
     /// ```
     pub fn fail(
         &mut self,
@@ -201,9 +201,9 @@
         budgets: [&mut RetryBudget; 2],
         now: Millis,
         rng: &mut impl Rng,
-    ) -> Verdict {
-        self.touched |= reason.ran() != Ran::NotRun;
-        if self.touched && !self.idempotent {
+    ) -> RetryDecision {
+        self.maybe_ran |= reason.ran() != Ran::NotRun;
+        if self.maybe_ran && !self.idempotent {
             return self.refuse(reason.refusal());
         }
         let spent = if reason.resumes() {
@@ -226,17 +226,17 @@
         } else {
             self.retried += 1;
         }
-        Verdict::Retry(pause)
+        RetryDecision::Retry(pause)
     }
 
     /// Refuses with what is known of all attempts, not of the last one alone.
-    fn refuse(&self, reason: Reason) -> Verdict {
-        let ran = if self.touched {
+    fn refuse(&self, reason: Reason) -> RetryDecision {
+        let ran = if self.maybe_ran {
             Ran::Unknown
         } else {
             Ran::NotRun
         };
-        Verdict::Refuse(Refusal {
+        RetryDecision::Refuse(Refusal {
             ran,
             ..Refusal::from(reason)
         })
--- a/crates/godwitspool-request/src/target.rs
+++ b/crates/godwitspool-request/src/target.rs
@@ -26,7 +26,7 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it takes new work.
-    pub takes: bool,
+    pub accepts_work: bool,
     /// Name.
     pub target: TargetName,
 }
--- a/crates/godwitspool-request/src/targets.rs
+++ b/crates/godwitspool-request/src/targets.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use crate::{
-    Health, LoadReport, TargetFacts, TargetId,
+    AttemptOutcome, LoadReport, TargetFacts, TargetId,
     pool::Pool,
     rendezvous::{stable_hash, weight},
     target::Target,
@@ -80,7 +80,7 @@
 /// let facts = TargetFacts {
 ///     service: ServiceName::from("desk"),
 ///     slots: 1,
-///     takes: true,
+///     accepts_work: true,
 ///     ..TargetFacts::default()
 /// };
 /// let id = targets.put(facts);
@@ -204,7 +204,13 @@
     }
 
     /// Records how an attempt on a target went, for its breaker.
-    pub fn record(&mut self, id: TargetId, health: Health, now: Millis, rng: &mut impl Rng) {
+    pub fn record(
+        &mut self,
+        id: TargetId,
+        health: AttemptOutcome,
+        now: Millis,
+        rng: &mut impl Rng,
+    ) {
         self.table[id.0 as usize].breaker.record(health, now, rng);
     }
 
@@ -262,7 +268,7 @@
             let target = &self.table[id.0 as usize];
             let facts = &target.facts;
             let near = facts.dc == self.dc && facts.service == need.service;
-            let kind = facts.takes && !target.gone && (need.resumable || !facts.reclaimable);
+            let kind = facts.accepts_work && !target.gone && (need.resumable || !facts.reclaimable);
             near && kind && target.fill() < COMFORTABLE && usable(id.0, target, need, now)
         };
         let holders = need.holders.iter().copied().filter(fits);
@@ -303,7 +309,7 @@
     /// Counts a target that takes work into the sums of its service, or out of them.
     fn count(&mut self, id: u32, into: bool) {
         let target = &self.table[id as usize];
-        if !target.facts.takes || target.gone {
+        if !target.facts.accepts_work || target.gone {
             return;
         }
         let Some(total) = self.totals.get_mut(&target.facts.service) else {
@@ -318,7 +324,7 @@
 
     fn offer(&mut self, id: u32) {
         let target = &self.table[id as usize];
-        if !target.facts.takes {
+        if !target.facts.accepts_work {
             return;
         }
         let service = target.facts.service.clone();
--- a/crates/godwitspool-request/tests/keys.rs
+++ b/crates/godwitspool-request/tests/keys.rs
@@ -100,12 +100,12 @@
         (RequestId(2), Key::from("strict").digest()),
     ];
     let before = KeyTable::from(&configuration());
-    assert_eq!(before.cut(&open, Millis::ZERO), []);
+    assert_eq!(before.unauthorized(&open, Millis::ZERO), []);
     assert_eq!(
-        KeyTable::from(&after).cut(&open, Millis::ZERO),
+        KeyTable::from(&after).unauthorized(&open, Millis::ZERO),
         [RequestId(1)]
     );
-    assert_eq!(before.cut(&open, Millis(30_001)), [RequestId(2)]);
+    assert_eq!(before.unauthorized(&open, Millis(30_001)), [RequestId(2)]);
 }
 
 #[test]
--- a/crates/godwitspool-request/tests/retry.rs
+++ b/crates/godwitspool-request/tests/retry.rs
@@ -1,6 +1,8 @@
 //! Retries and breakers.
 
-use godwitspool_request::{Attempts, Breaker, Health, Reason, RetryBudget, RetryReason, Verdict};
+use godwitspool_request::{
+    AttemptOutcome, Attempts, Breaker, Reason, RetryBudget, RetryDecision, RetryReason,
+};
 use godwitspool_types::{Millis, Ran};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -14,7 +16,7 @@
     }
 }
 
-fn fail(attempts: &mut Attempts, reason: RetryReason, after: Option<Millis>) -> Verdict {
+fn fail(attempts: &mut Attempts, reason: RetryReason, after: Option<Millis>) -> RetryDecision {
     let (mut one, mut two) = (RetryBudget::default(), RetryBudget::default());
     let mut rng = StdRng::seed_from_u64(1);
     attempts.fail(reason, after, [&mut one, &mut two], Millis::ZERO, &mut rng)
@@ -29,7 +31,7 @@
         idempotent: false,
         ..idempotent()
     };
-    let Verdict::Refuse(refusal) = fail(&mut attempts, retry, None) else {
+    let RetryDecision::Refuse(refusal) = fail(&mut attempts, retry, None) else {
         panic!("retried");
     };
     assert_eq!((refusal.reason, refusal.ran), (reason, Ran::Unknown));
@@ -42,10 +44,11 @@
         ..idempotent()
     };
     for _ in 0..Attempts::MAX_RETRIES {
-        let verdict = fail(&mut attempts, RetryReason::ConnectFailed, None);
-        assert!(matches!(verdict, Verdict::Retry(_)));
+        let decision = fail(&mut attempts, RetryReason::ConnectFailed, None);
+        assert!(matches!(decision, RetryDecision::Retry(_)));
     }
-    let Verdict::Refuse(refusal) = fail(&mut attempts, RetryReason::ConnectFailed, None) else {
+    let RetryDecision::Refuse(refusal) = fail(&mut attempts, RetryReason::ConnectFailed, None)
+    else {
         panic!("retried");
     };
     assert_eq!(refusal.ran, Ran::NotRun);
@@ -56,7 +59,8 @@
     let mut attempts = idempotent();
     fail(&mut attempts, RetryReason::TargetLost, None);
     attempts.retried = Attempts::MAX_RETRIES;
-    let Verdict::Refuse(refusal) = fail(&mut attempts, RetryReason::ConnectFailed, None) else {
+    let RetryDecision::Refuse(refusal) = fail(&mut attempts, RetryReason::ConnectFailed, None)
+    else {
         panic!("retried");
     };
     assert_eq!(refusal.ran, Ran::Unknown);
@@ -65,13 +69,17 @@
 #[test]
 fn retry_after_is_honoured_within_the_deadline() {
     let after = Some(Millis(3_000));
-    let Verdict::Retry(pause) = fail(&mut idempotent(), RetryReason::TargetRefused, after) else {
+    let RetryDecision::Retry(pause) = fail(&mut idempotent(), RetryReason::TargetRefused, after)
+    else {
         panic!("refused");
     };
     assert!(pause >= Millis(3_000));
     let after = Some(Millis(10_000));
-    let verdict = fail(&mut idempotent(), RetryReason::TargetRefused, after);
-    assert_eq!(verdict, Verdict::Refuse(Reason::TargetRefused.into()));
+    let decision = fail(&mut idempotent(), RetryReason::TargetRefused, after);
+    assert_eq!(
+        decision,
+        RetryDecision::Refuse(Reason::TargetRefused.into())
+    );
 }
 
 #[test]
@@ -80,14 +88,14 @@
     let (mut spent, mut whole) = (RetryBudget::default(), RetryBudget::default());
     while spent.take() {}
     let budgets = [&mut whole, &mut spent];
-    let verdict = idempotent().fail(
+    let decision = idempotent().fail(
         RetryReason::TargetLost,
         None,
         budgets,
         Millis::ZERO,
         &mut rng,
     );
-    assert!(matches!(verdict, Verdict::Refuse(_)));
+    assert!(matches!(decision, RetryDecision::Refuse(_)));
     assert_eq!(whole, RetryBudget::default());
 }
 
@@ -116,7 +124,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut breaker = Breaker::default();
         for turn in 0..failures {
-            breaker.record(Health::Failed(caller), Millis(u64::from(turn) * 10), &mut rng);
+            breaker.record(AttemptOutcome::Failed(caller), Millis(u64::from(turn) * 10), &mut rng);
         }
         let now = Millis(u64::from(failures) * 10);
         prop_assert!(breaker.allows(caller + 1, now));
@@ -129,16 +137,16 @@
     let mut rng = StdRng::seed_from_u64(3);
     let mut breaker = Breaker::default();
     for caller in [1, 2, 1] {
-        breaker.record(Health::Failed(caller), Millis(100), &mut rng);
+        breaker.record(AttemptOutcome::Failed(caller), Millis(100), &mut rng);
     }
     assert!(!breaker.allows(9, Millis(101)));
     assert!(breaker.allows(9, Millis(1_000)));
-    breaker.record(Health::Failed(1), Millis(1_000), &mut rng);
+    breaker.record(AttemptOutcome::Failed(1), Millis(1_000), &mut rng);
     assert!(
         !breaker.allows(9, Millis(1_900)),
         "the second opening is longer"
     );
-    breaker.record(Health::Answered, Millis(1_950), &mut rng);
+    breaker.record(AttemptOutcome::Answered, Millis(1_950), &mut rng);
     assert!(breaker.allows(1, Millis(1_950)));
 }
 
@@ -146,6 +154,6 @@
 fn refused_connections_open_the_breaker_whoever_meets_them() {
     let mut rng = StdRng::seed_from_u64(rand::rng().random());
     let mut breaker = Breaker::default();
-    (0..3).for_each(|_| breaker.record(Health::Unreachable, Millis(0), &mut rng));
+    (0..3).for_each(|_| breaker.record(AttemptOutcome::Unreachable, Millis(0), &mut rng));
     assert!(!breaker.allows(1, Millis(1)));
 }
--- a/crates/godwitspool-request/tests/targets.rs
+++ b/crates/godwitspool-request/tests/targets.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use godwitspool_request::{
-    Choice, Health, LoadReport, Need, PrefixEvent, Prefixes, TargetFacts, TargetId, Targets,
-    stable_hash,
+    AttemptOutcome, Choice, LoadReport, Need, PrefixEvent, Prefixes, TargetFacts, TargetId,
+    Targets, stable_hash,
 };
 use godwitspool_types::{Dc, Millis, ServiceName, TargetName, WeightVersion};
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
         dc: Dc::from(dc),
         service: ServiceName::from("desk"),
         slots,
-        takes: true,
+        accepts_work: true,
         target: TargetName::from(name),
         ..TargetFacts::default()
     }
@@ -119,12 +119,12 @@
     assert_ne!(second, first);
 
     let mut rng = StdRng::seed_from_u64(1);
-    (0..3).for_each(|_| targets.record(second, Health::Unreachable, NOW, &mut rng));
+    (0..3).for_each(|_| targets.record(second, AttemptOutcome::Unreachable, NOW, &mut rng));
     let third = chosen(&targets, &retry);
     assert!(third != first && third != second);
 
     let facts = TargetFacts {
-        takes: false,
+        accepts_work: false,
         ..targets.facts(third).clone()
     };
     targets.put(facts);
