--- a/crates/godwitspool-entry/src/request/keyed.rs
+++ b/crates/godwitspool-entry/src/request/keyed.rs
@@ -6,7 +6,7 @@
     ClaimReply, KeyFate, KeyItem, KeyName, ServingAnswer, ServingRequest,
 };
 use godwitspool_request::{
-    ClaimAnswer, Fate, Handed, IdempotencyKey, KeyHome, KeyLoss, KeyRecord, Reason,
+    ClaimAnswer, Fate, HandoverItem, IdempotencyKey, KeyHome, KeyLoss, KeyRecord, Reason,
 };
 use godwitspool_types::{HostName, Millis, Workspace};
 
@@ -209,7 +209,7 @@
     send(shared, handed);
 }
 
-fn send(shared: &Arc<Shared>, handed: Vec<(HostName, Handed)>) {
+fn send(shared: &Arc<Shared>, handed: Vec<(HostName, HandoverItem)>) {
     for (home, item) in handed {
         let request = ServingRequest::HandOver(vec![item_of(item)]);
         if serving::call(shared, &home, request).is_none() {
@@ -252,47 +252,47 @@
     }
 }
 
-fn handed_of(item: KeyItem) -> Handed {
+fn handed_of(item: KeyItem) -> HandoverItem {
     match item {
         KeyItem::Loss {
             before,
             gone,
             left_ms,
-        } => Handed::Loss(KeyLoss {
+        } => HandoverItem::Loss(KeyLoss {
             before,
             gone: gone.into_iter().collect(),
-            left: Millis(left_ms),
+            remaining: Millis(left_ms),
         }),
         KeyItem::Record {
             fate,
             key,
             left_ms,
             print,
-        } => Handed::Record(KeyRecord {
+        } => HandoverItem::Record(KeyRecord {
             fate: fate_of(fate),
             key: key_of(key),
-            left: Millis(left_ms),
-            print,
+            remaining: Millis(left_ms),
+            fingerprint: print,
         }),
     }
 }
 
-fn item_of(handed: Handed) -> KeyItem {
+fn item_of(handed: HandoverItem) -> KeyItem {
     match handed {
-        Handed::Loss(loss) => KeyItem::Loss {
+        HandoverItem::Loss(loss) => KeyItem::Loss {
             before: loss.before,
             gone: loss.gone.into_iter().collect(),
-            left_ms: loss.left.0,
+            left_ms: loss.remaining.0,
         },
-        Handed::Record(record) => KeyItem::Record {
+        HandoverItem::Record(record) => KeyItem::Record {
             fate: match record.fate {
                 Fate::Done(bytes) => KeyFate::Done(bytes),
                 Fate::Running(host) => KeyFate::Running(host),
                 Fate::Unknown => KeyFate::Unknown,
             },
             key: name(&record.key),
-            left_ms: record.left.0,
-            print: record.print,
+            left_ms: record.remaining.0,
+            print: record.fingerprint,
         },
     }
 }
--- a/crates/godwitspool-entry/src/request/peers.rs
+++ b/crates/godwitspool-entry/src/request/peers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use godwitspool_connection::messages::{ServingAnswer, ServingRequest};
-use godwitspool_request::{SuspectEvent, Want};
+use godwitspool_request::{LimitDemand, SuspectEvent};
 
 use crate::{
     process::shared::Shared,
@@ -25,7 +25,7 @@
             running,
             workspace,
         } => {
-            let want = Want { arrived, running };
+            let want = LimitDemand { arrived, running };
             ServingAnswer::Grant(quota::answer(shared, &workspace, &host, want))
         }
         ServingRequest::Probe => ServingAnswer::Here,
--- a/crates/godwitspool-entry/src/request/quota.rs
+++ b/crates/godwitspool-entry/src/request/quota.rs
@@ -6,7 +6,9 @@
 };
 
 use godwitspool_connection::messages::{LimitPart, ServingAnswer, ServingRequest};
-use godwitspool_request::{Grant, LimitHome, Limits, Refusal, Usage, Want, stable_hash};
+use godwitspool_request::{
+    Grant, LimitDemand, LimitHome, LimitUsage, Limits, Refusal, stable_hash,
+};
 use godwitspool_types::{HostName, Millis, Workspace};
 
 use crate::process::{serving, shared::Shared};
@@ -18,7 +20,7 @@
 struct State {
     asked: HashMap<Workspace, Millis>,
     homes: HashMap<Workspace, LimitHome>,
-    usages: HashMap<Workspace, Usage>,
+    usages: HashMap<Workspace, LimitUsage>,
 }
 
 /// Use of the workspaces' limits on this host, and the limits whose home it is.
@@ -81,7 +83,7 @@
     shared: &Arc<Shared>,
     workspace: &Workspace,
     host: &HostName,
-    want: Want,
+    want: LimitDemand,
 ) -> Option<LimitPart> {
     let limits = limits(shared, workspace);
     let now = shared.serving.now();
@@ -149,9 +151,9 @@
     }
 
     /// Returns the demand, and notes that it was asked for now.
-    fn want(&self, workspace: &Workspace, now: Millis) -> Option<Want> {
+    fn want(&self, workspace: &Workspace, now: Millis) -> Option<LimitDemand> {
         let mut state = self.lock();
         state.asked.insert(workspace.clone(), now);
-        state.usages.get_mut(workspace).map(Usage::report)
+        state.usages.get_mut(workspace).map(LimitUsage::report)
     }
 }
--- a/crates/godwitspool-request/src/idempotency.rs
+++ b/crates/godwitspool-request/src/idempotency.rs
@@ -95,15 +95,15 @@
     /// Key.
     pub key: IdempotencyKey,
     /// Time that the record is still kept.
-    pub left: Millis,
+    pub remaining: Millis,
     /// Fingerprint of the request.
-    pub print: u64,
+    pub fingerprint: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Kept {
     fate: Fate,
-    print: u64,
+    fingerprint: u64,
     until: Millis,
 }
 
@@ -116,12 +116,12 @@
     /// Members that were lost.
     pub gone: BTreeSet<HostName>,
     /// Time that the loss still counts.
-    pub left: Millis,
+    pub remaining: Millis,
 }
 
 /// What a home hands over to another.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Handed {
+pub enum HandoverItem {
     /// A loss that a host which has just joined must know of.
     Loss(KeyLoss),
     /// A record of a key.
@@ -161,21 +161,25 @@
     pub fn claim(
         &mut self,
         key: &IdempotencyKey,
-        print: u64,
+        fingerprint: u64,
         host: &HostName,
         now: Millis,
     ) -> ClaimAnswer {
         self.kept.retain(|_, kept| now < kept.until);
         self.losses.retain(|(_, until)| now < *until);
         if let Some(kept) = self.kept.get(key) {
-            return kept.answer(print);
+            return kept.answer(fingerprint);
         }
         if self.losses.iter().any(|(loss, _)| loss.may_have_held(key)) {
             return ClaimAnswer::Unknown;
         }
         let fate = Fate::Running(host.clone());
         let until = now + Self::KEPT;
-        let kept = Kept { fate, print, until };
+        let kept = Kept {
+            fate,
+            fingerprint,
+            until,
+        };
         self.kept.insert(key.clone(), kept);
         ClaimAnswer::New
     }
@@ -210,21 +214,21 @@
     }
 
     /// Takes what another home hands over.
-    pub fn accept(&mut self, handed: Handed, now: Millis) {
+    pub fn accept(&mut self, handed: HandoverItem, now: Millis) {
         match handed {
-            Handed::Loss(loss) => {
-                let until = now + loss.left;
+            HandoverItem::Loss(loss) => {
+                let until = now + loss.remaining;
                 self.losses.push((loss, until));
             }
-            Handed::Record(record) => self.accept_record(record, now),
+            HandoverItem::Record(record) => self.accept_record(record, now),
         }
     }
 
     fn accept_record(&mut self, record: KeyRecord, now: Millis) {
         let kept = Kept {
             fate: record.fate,
-            print: record.print,
-            until: now + record.left,
+            fingerprint: record.fingerprint,
+            until: now + record.remaining,
         };
         match self.kept.get_mut(&record.key) {
             // Two records of a key differ when its homes were cut off; the surest one is kept.
@@ -245,7 +249,7 @@
         members: Vec<HostName>,
         lost: &[HostName],
         now: Millis,
-    ) -> Vec<(HostName, Handed)> {
+    ) -> Vec<(HostName, HandoverItem)> {
         self.recent.retain(|(_, when)| now < *when + Self::HANDOVER);
         let before = std::mem::replace(&mut self.members, members);
         for host in lost {
@@ -261,7 +265,7 @@
             for home in key.homes(&self.members) {
                 if home != own && !old.contains(&home) {
                     let record = kept.record(key, now);
-                    handed.push((home.clone(), Handed::Record(record)));
+                    handed.push((home.clone(), HandoverItem::Record(record)));
                 }
             }
         }
@@ -269,7 +273,7 @@
     }
 
     /// Returns every record, each with a home of the members that stay; for a host that leaves.
-    pub fn hand_over(&self, own: &HostName, now: Millis) -> Vec<(HostName, Handed)> {
+    pub fn hand_over(&self, own: &HostName, now: Millis) -> Vec<(HostName, HandoverItem)> {
         let staying: Vec<HostName> = self
             .members
             .iter()
@@ -280,23 +284,23 @@
         for (key, kept) in &self.kept {
             for home in key.homes(&staying) {
                 let record = kept.record(key, now);
-                handed.push((home.clone(), Handed::Record(record)));
+                handed.push((home.clone(), HandoverItem::Record(record)));
             }
         }
         handed
     }
 
-    fn losses_for_joined(&self, before: &[HostName], now: Millis) -> Vec<(HostName, Handed)> {
+    fn losses_for_joined(&self, before: &[HostName], now: Millis) -> Vec<(HostName, HandoverItem)> {
         let joined = self.members.iter().filter(|host| !before.contains(host));
         joined
             .flat_map(|host| {
                 self.losses.iter().map(|(loss, until)| {
-                    let left = *until - now;
+                    let remaining = *until - now;
                     let loss = KeyLoss {
-                        left,
+                        remaining,
                         ..loss.clone()
                     };
-                    (host.clone(), Handed::Loss(loss))
+                    (host.clone(), HandoverItem::Loss(loss))
                 })
             })
             .collect()
@@ -309,9 +313,15 @@
                 before.push(host.clone());
             }
         }
-        let left = Self::KEPT;
-        self.losses
-            .push((KeyLoss { before, gone, left }, now + left));
+        let remaining = Self::KEPT;
+        self.losses.push((
+            KeyLoss {
+                before,
+                gone,
+                remaining,
+            },
+            now + remaining,
+        ));
     }
 }
 
@@ -324,8 +334,8 @@
 }
 
 impl Kept {
-    fn answer(&self, print: u64) -> ClaimAnswer {
-        if self.print != print {
+    fn answer(&self, fingerprint: u64) -> ClaimAnswer {
+        if self.fingerprint != fingerprint {
             return ClaimAnswer::Mismatch;
         }
         match &self.fate {
@@ -339,8 +349,8 @@
         KeyRecord {
             fate: self.fate.clone(),
             key: key.clone(),
-            left: self.until - now,
-            print: self.print,
+            remaining: self.until - now,
+            fingerprint: self.fingerprint,
         }
     }
 }
--- a/crates/godwitspool-request/src/lib.rs
+++ b/crates/godwitspool-request/src/lib.rs
@@ -32,10 +32,10 @@
 pub use admission::{Admission, AdmissionAction, AdmissionEvent, Ticket};
 pub use breaker::{AttemptOutcome, Breaker};
 pub use idempotency::{
-    ClaimAnswer, Fate, Handed, IdempotencyKey, KEY_HOMES, KeyHome, KeyLoss, KeyRecord,
+    ClaimAnswer, Fate, HandoverItem, IdempotencyKey, KEY_HOMES, KeyHome, KeyLoss, KeyRecord,
 };
 pub use keys::{Caller, KeyTable};
-pub use limits::{Grant, LimitHome, Limits, Usage, Want};
+pub use limits::{Grant, LimitDemand, LimitHome, LimitUsage, Limits};
 pub use prefixes::{PrefixEvent, Prefixes};
 pub use quarantine::{
     BLAME_PER_CRASH, Blame, CrashRecord, SuspectAction, SuspectEvent, SuspectList, SuspectStatus,
--- a/crates/godwitspool-request/src/limits.rs
+++ b/crates/godwitspool-request/src/limits.rs
@@ -41,10 +41,10 @@
     /// use godwitspool_request::Limits;
     ///
     /// let limits = Limits { concurrency: 88, hosts: 11, rate: 440 };
-    /// assert_eq!(limits.fixed().concurrency, 2);
-    /// assert_eq!(limits.fixed().rate, 10.0);
+    /// assert_eq!(limits.default_grant().concurrency, 2);
+    /// assert_eq!(limits.default_grant().rate, 10.0);
     /// ```
-    pub fn fixed(&self) -> Grant {
+    pub fn default_grant(&self) -> Grant {
         let hosts = self.hosts.max(1);
         if hosts == 1 {
             return Grant {
@@ -64,10 +64,10 @@
 /// A workspace's use of its limits on one host.
 ///
 /// ```
-/// use godwitspool_request::{Limits, Usage};
+/// use godwitspool_request::{Limits, LimitUsage};
 /// use godwitspool_types::Millis;
 ///
-/// let mut usage = Usage::default();
+/// let mut usage = LimitUsage::default();
 /// let limits = Limits { concurrency: 1, hosts: 1, rate: 100 };
 /// assert!(usage.begin(limits, Millis(0)).is_ok());
 /// assert!(usage.begin(limits, Millis(0)).is_err());
@@ -75,7 +75,7 @@
 /// assert!(usage.begin(limits, Millis(0)).is_ok());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Usage {
+pub struct LimitUsage {
     grant: Option<(Grant, Millis)>,
     refilled: Option<Millis>,
     running: u32,
@@ -83,7 +83,7 @@
     wanted: u32,
 }
 
-impl Usage {
+impl LimitUsage {
     /// Counts a request in.
     ///
     /// # Errors
@@ -123,8 +123,8 @@
     }
 
     /// Returns the demand since the last report: requests that came, and those in progress.
-    pub fn report(&mut self) -> Want {
-        Want {
+    pub fn report(&mut self) -> LimitDemand {
+        LimitDemand {
             arrived: std::mem::take(&mut self.wanted),
             running: self.running,
         }
@@ -133,7 +133,7 @@
     fn current(&self, limits: Limits, now: Millis) -> Grant {
         match self.grant {
             Some((grant, until)) if now < until => grant,
-            _ => limits.fixed(),
+            _ => limits.default_grant(),
         }
     }
 
@@ -148,7 +148,7 @@
 
 /// Demand of a host for a workspace's limits.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Want {
+pub struct LimitDemand {
     /// Requests that came since the last report.
     pub arrived: u32,
     /// Requests in progress.
@@ -171,12 +171,12 @@
 /// ended.
 ///
 /// ```
-/// use godwitspool_request::{LimitHome, Limits, Want};
+/// use godwitspool_request::{LimitHome, Limits, LimitDemand};
 /// use godwitspool_types::{HostName, Millis};
 ///
 /// let limits = Limits { concurrency: 100, hosts: 10, rate: 1_000 };
 /// let mut home = LimitHome::new(Millis(0));
-/// let want = Want { arrived: 50, running: 3 };
+/// let want = LimitDemand { arrived: 50, running: 3 };
 /// assert_eq!(home.ask(&HostName::from("a"), want, limits, Millis(100)), None);
 /// let grant = home.ask(&HostName::from("a"), want, limits, Millis(5_000)).unwrap();
 /// assert!(grant.rate > 700.0);
@@ -200,7 +200,7 @@
     pub fn ask(
         &mut self,
         host: &HostName,
-        want: Want,
+        want: LimitDemand,
         limits: Limits,
         now: Millis,
     ) -> Option<Grant> {
@@ -216,7 +216,7 @@
                 concurrency: sum.concurrency + asker.grant.concurrency,
                 rate: sum.rate + asker.grant.rate,
             });
-        let fixed = limits.fixed();
+        let fixed = limits.default_grant();
         let hosts = limits.hosts.max(1);
         let pool = Grant {
             concurrency: limits.concurrency.saturating_sub(fixed.concurrency * hosts),
--- a/crates/godwitspool-request/tests/admission.rs
+++ b/crates/godwitspool-request/tests/admission.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use godwitspool_request::{
-    Admission, AdmissionAction, AdmissionEvent, Grant, LimitHome, Limits, Reason, Ticket,
-    TrainingShare, Usage, Want,
+    Admission, AdmissionAction, AdmissionEvent, Grant, LimitDemand, LimitHome, LimitUsage, Limits,
+    Reason, Ticket, TrainingShare,
 };
 use godwitspool_types::{HostName, Millis, RequestId, Workspace};
 use proptest::prelude::*;
@@ -243,16 +243,16 @@
         asks in prop::collection::vec((0..11_usize, 0..500_u32, 0..1_000_u64), 1..200),
     ) {
         let mut home = LimitHome::new(Millis::ZERO);
-        let mut held = vec![(LIMITS.fixed(), Millis::ZERO); 11];
+        let mut held = vec![(LIMITS.default_grant(), Millis::ZERO); 11];
         let mut now = Millis(3_001);
         for (host, arrived, span) in asks {
             now = now + Millis(span);
-            let want = Want { arrived, running: 0 };
-            if let Some(grant) = home.ask(&format!("h{host}").into(), want, LIMITS, now) {
+            let demand = LimitDemand { arrived, running: 0 };
+            if let Some(grant) = home.ask(&format!("h{host}").into(), demand, LIMITS, now) {
                 held[host] = (grant, now + Millis(3_000));
             }
             let sum = held.iter().fold(Grant::default(), |sum, (grant, until)| {
-                let grant = if now < *until { *grant } else { LIMITS.fixed() };
+                let grant = if now < *until { *grant } else { LIMITS.default_grant() };
                 Grant {
                     concurrency: sum.concurrency + grant.concurrency,
                     rate: sum.rate + grant.rate,
@@ -265,7 +265,7 @@
 
     #[test]
     fn a_host_stays_within_its_part(spans in prop::collection::vec(0..50_u64, 1..1_000)) {
-        let mut usage = Usage::default();
+        let mut usage = LimitUsage::default();
         let (mut now, mut passed) = (0, 0);
         let grant = Grant { concurrency: 1_000, rate: 20.0 };
         for span in spans {
@@ -282,15 +282,15 @@
 #[test]
 fn a_new_home_waits_until_old_grants_have_ended() {
     let mut home = LimitHome::new(Millis(10_000));
-    let want = Want::default();
+    let demand = LimitDemand::default();
     let host = HostName::from("a");
-    assert_eq!(home.ask(&host, want, LIMITS, Millis(13_000)), None);
-    assert!(home.ask(&host, want, LIMITS, Millis(13_001)).is_some());
+    assert_eq!(home.ask(&host, demand, LIMITS, Millis(13_000)), None);
+    assert!(home.ask(&host, demand, LIMITS, Millis(13_001)).is_some());
 }
 
 #[test]
 fn an_idle_host_saves_up_no_more_than_a_second() {
-    let mut usage = Usage::default();
+    let mut usage = LimitUsage::default();
     let grant = Grant {
         concurrency: 1_000,
         rate: 20.0,
@@ -306,7 +306,7 @@
 
 #[test]
 fn a_host_whose_grant_ended_falls_back_to_the_fixed_part() {
-    let mut usage = Usage::default();
+    let mut usage = LimitUsage::default();
     let grant = Grant {
         concurrency: 50,
         rate: 1_000.0,
@@ -326,7 +326,7 @@
     let mut shares = (0.0, 0.0);
     for turn in 4..12 {
         let now = Millis(turn * 1_000);
-        let ask = |arrived| Want {
+        let ask = |arrived| LimitDemand {
             arrived,
             running: 0,
         };
--- a/crates/godwitspool-request/tests/idempotency.rs
+++ b/crates/godwitspool-request/tests/idempotency.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use godwitspool_request::{ClaimAnswer, Fate, Handed, IdempotencyKey, KeyHome};
+use godwitspool_request::{ClaimAnswer, Fate, HandoverItem, IdempotencyKey, KeyHome};
 use godwitspool_types::{HostName, Millis, Workspace};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -166,7 +166,7 @@
         self.deliver(handed);
     }
 
-    fn deliver(&mut self, handed: Vec<(HostName, Handed)>) {
+    fn deliver(&mut self, handed: Vec<(HostName, HandoverItem)>) {
         for (to, record) in handed {
             if let Some(home) = self.homes.get_mut(&to) {
                 home.accept(record, self.now);
