--- a/crates/godwitspool-types/src/finding.rs
+++ b/crates/godwitspool-types/src/finding.rs
@@ -1,13 +1,13 @@
-//! Findings about input, collected with their place and reported together.
+//! Errors found in input files, collected with their positions and reported together.
 
 use std::fmt;
 
 use crate::FileName;
 
-/// A place in a file. Lines and columns count from 1.
+/// A position in a file. Lines and columns count from 1.
 #[derive(Clone, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Place {
-    /// The file.
+    /// The file, or the folder when the error concerns the whole folder.
     pub file: FileName,
     /// The line, from 1.
     pub line: u64,
@@ -21,10 +21,10 @@
     }
 }
 
-/// Something wrong in input, with its place.
+/// An error in an input file, with its position.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Finding {
-    /// Where it stands.
+    /// Position at which the error was found.
     pub place: Place,
     /// What is wrong and what was expected.
     pub message: String,
--- a/crates/godwitspool-types/src/ids.rs
+++ b/crates/godwitspool-types/src/ids.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies a request over all hosts and attempts.
+/// Identifies a request across all hosts and attempts.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -12,7 +12,7 @@
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// Draws a new identifier at random.
+    /// Generates a random identifier.
     ///
     /// ```
     /// use godwitspool_types::RequestId;
@@ -60,7 +60,7 @@
 pub struct Offset(pub u64);
 
 impl Offset {
-    /// Returns the offset that follows.
+    /// Returns the next offset.
     ///
     /// ```
     /// use godwitspool_types::Offset;
@@ -78,7 +78,7 @@
     }
 }
 
-/// A lease term, used as a fencing token: the offset of the claim that began it.
+/// A lease term, used as a fencing token. Its value is the offset of the claim that began it.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -91,7 +91,7 @@
     }
 }
 
-/// Tells one life of a process from the lives before it on the same address.
+/// Distinguishes a run of a process from earlier runs on the same address.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/crates/godwitspool-types/src/key.rs
+++ b/crates/godwitspool-types/src/key.rs
@@ -6,26 +6,26 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Bytes of a key's random part.
+/// Length of a key's random part, in bytes.
 const KEY_BYTES: usize = 16;
 
-/// A caller's key in clear text. Its debug form hides the text.
+/// A caller's key in clear text. Its `Debug` output hides the text.
 #[derive(Clone)]
 pub struct Key(String);
 
 impl Key {
-    /// Draws a new key at random.
+    /// Generates a random key.
     pub fn random() -> Self {
         let bytes: [u8; KEY_BYTES] = rand::random();
         Self(format!("gsk-{:032x}", u128::from_be_bytes(bytes)))
     }
 
-    /// Returns the clear text, to be shown once to the operator who issued it.
+    /// Returns the clear text, which is shown only once, to the operator who issued the key.
     pub fn expose(&self) -> &str {
         &self.0
     }
 
-    /// Returns the digest under which the configuration holds the key.
+    /// Returns the digest that the configuration stores in place of the key.
     ///
     /// ```
     /// use godwitspool_types::Key;
@@ -55,7 +55,7 @@
 pub struct KeyDigest(pub [u8; 32]);
 
 impl KeyDigest {
-    /// Compares in constant time.
+    /// Compares two digests in constant time.
     pub fn matches(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
@@ -83,14 +83,14 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
-        let wrong = || {
+        let invalid_length = || {
             format!(
                 "key digest has {} characters, expected 64 hexadecimal",
                 text.len()
             )
         };
         if text.len() != 64 || !text.is_ascii() {
-            return Err(wrong());
+            return Err(invalid_length());
         }
         let mut bytes = [0; 32];
         for (index, byte) in bytes.iter_mut().enumerate() {
--- a/crates/godwitspool-types/src/lib.rs
+++ b/crates/godwitspool-types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Names, identifiers, times and findings that every crate shares.
 //!
-//! Names are shared immutable strings, so a clone costs a reference count and no allocation.
-//! Times are plain milliseconds that the caller passes in: nothing here reads a clock.
+//! Names are shared immutable strings: cloning one increments a reference count and allocates
+//! nothing. Times are plain milliseconds that the caller passes in; this crate reads no clock.
 //!
 //! ```
 //! use godwitspool_types::{Millis, Workspace};
--- a/crates/godwitspool-types/src/millis.rs
+++ b/crates/godwitspool-types/src/millis.rs
@@ -8,9 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds, either since the start of the process or as a span.
+/// Milliseconds, either since the start of the process or as a time span.
 ///
-/// Subtraction saturates at zero, so a late clock reading never underflows.
+/// Addition and subtraction saturate, so subtracting a later time gives zero.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -18,7 +18,7 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The latest time there is.
+    /// The largest time or span.
     pub const MAX: Self = Self(u64::MAX);
     /// The start of the process, or an empty span.
     pub const ZERO: Self = Self(0);
--- a/crates/godwitspool-types/src/names.rs
+++ b/crates/godwitspool-types/src/names.rs
@@ -65,7 +65,7 @@
     Dc
 );
 name!(
-    /// A file of the operators' folder.
+    /// The path of a settings file, or of the operators' folder or a file in it.
     FileName
 );
 name!(
@@ -77,11 +77,11 @@
     ModelName
 );
 name!(
-    /// A service, qualified by its party where names clash.
+    /// A service, qualified by the party that owns it where names clash.
     ServiceName
 );
 name!(
-    /// A back end: an engine or a plain service instance.
+    /// A back end that runs requests: an engine or an instance of a plain service.
     TargetName
 );
 name!(
--- a/crates/godwitspool-types/src/ran.rs
+++ b/crates/godwitspool-types/src/ran.rs
@@ -10,14 +10,14 @@
 pub enum Ran {
     /// The request reached no target that could have run it.
     NotRun,
-    /// The request ran.
+    /// The request ran on a target.
     Ran,
     /// The request may have run.
     Unknown,
 }
 
 impl Ran {
-    /// Returns the value as it stands in answers to callers.
+    /// Returns the value as it is sent to callers.
     ///
     /// ```
     /// use godwitspool_types::Ran;
