--- a/crates/godwitspool-request/src/lib.rs
+++ b/crates/godwitspool-request/src/lib.rs
@@ -1,8 +1,8 @@
-//! What lives for a request: whose it is, whether it is admitted, where it goes, and what follows
-//! a failure.
+//! Decisions about a request: who sent it, whether it is admitted, which target runs it, and what
+//! follows a failure.
 //!
-//! Everything here decides over plain data: states, events and the time go in, actions come out.
-//! No clock, socket or lock is used, so the same code runs in the entry daemon, in tests and in the
+//! The functions here take state, events and the current time, and return actions. They use no
+//! clock, socket or lock, so the same code runs in the entry daemon, in tests and in the
 //! measurements.
 //!
 //! ```
--- a/crates/godwitspool-request/src/pool.rs
+++ b/crates/godwitspool-request/src/pool.rs
@@ -1,26 +1,26 @@
-//! Targets that are alike: same service, data centre and cost.
+//! Pools of interchangeable targets: same service, data centre, cost and reclaimability.
 
 use godwitspool_types::Dc;
 
 use crate::{rendezvous::weight, target::Target};
 
-/// Buckets that a large pool is ranked by.
+/// Number of buckets into which members are hashed; large pools are ranked by bucket first.
 const BUCKETS: usize = 64;
-/// Members up to which a pool is ranked whole.
-const RANKED_WHOLE: usize = 128;
-/// Members that a search visits in a large pool.
-const SEARCHED: usize = 32;
-/// Candidates that a ranking returns.
+/// Size up to which all members of a pool are ranked and searched.
+const MAX_FULLY_RANKED: usize = 128;
+/// Number of members that a search visits in a larger pool.
+const MAX_SEARCHED: usize = 32;
+/// Number of candidates that a ranking returns.
 pub(crate) const CANDIDATES: usize = 4;
 
-/// A member with its hash, so that ranking touches nothing else.
+/// A member with its hash, so that ranking doesn't read the target itself.
 #[derive(Clone, Copy, Debug)]
 struct Member {
     hash: u64,
     id: u32,
 }
 
-/// Targets that are alike, in the order in which pools are tried.
+/// Interchangeable targets of a service.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     pub(crate) cost: u64,
@@ -56,43 +56,46 @@
         self.buckets[hash as usize % BUCKETS].retain(|member| member.id != id);
     }
 
-    /// Returns usable members in order of their rendezvous weight for a key.
+    /// Returns usable members by descending rendezvous weight for a key.
     ///
-    /// A large pool is ranked by buckets first, so the cost grows with a 64th of the members.
+    /// In a large pool the buckets are ranked first and only the members of the best ones are
+    /// compared, so the cost grows with a 64th of the members.
     pub(crate) fn rank(
         &self,
         key: u64,
         targets: &[Target],
         usable: impl Fn(u32, &Target) -> bool,
     ) -> Ranking {
-        let weigh = |member: &Member| (weight(key, member.hash), member.id);
+        let weighted = |member: &Member| (weight(key, member.hash), member.id);
         let usable = |member: &Member| usable(member.id, &targets[member.id as usize]);
-        if self.members.len() <= RANKED_WHOLE {
+        if self.members.len() <= MAX_FULLY_RANKED {
             let mut ranking = Ranking::default();
             self.members
                 .iter()
-                .map(weigh)
+                .map(weighted)
                 .for_each(|entry| ranking.push(entry));
             if ranking.ids().all(|id| usable(&Member { hash: 0, id })) {
                 return ranking;
             }
             let mut ranking = Ranking::default();
-            let fit = self.members.iter().filter(|member| usable(member));
-            fit.map(weigh).for_each(|entry| ranking.push(entry));
+            let usable_members = self.members.iter().filter(|member| usable(member));
+            usable_members
+                .map(weighted)
+                .for_each(|entry| ranking.push(entry));
             return ranking;
         }
         let mut buckets = Ranking::default();
-        for (index, _) in filled(&self.buckets) {
+        for (index, _) in non_empty(&self.buckets) {
             buckets.push((weight(key, index as u64 + 1), index as u32));
         }
         let mut ranking = Ranking::default();
         for index in buckets.ids() {
             let members = &self.buckets[index as usize];
-            let first = members.iter().max_by_key(|member| weigh(member));
-            // Only when the first isn't usable are the others looked at.
+            let first = members.iter().max_by_key(|member| weighted(member));
+            // Checking usability is only needed for the others when the first isn't usable.
             let best = first.filter(|member| usable(member)).or_else(|| {
-                let fit = members.iter().filter(|member| usable(member));
-                fit.max_by_key(|member| weigh(member))
+                let usable_members = members.iter().filter(|member| usable(member));
+                usable_members.max_by_key(|member| weighted(member))
             });
             if let Some(member) = best {
                 ranking.append(member.id);
@@ -101,29 +104,29 @@
         ranking
     }
 
-    /// Searches for a usable member, from a place that the key gives.
+    /// Searches for a usable member, starting at a position derived from the key.
     pub(crate) fn search(&self, key: u64, usable: impl Fn(u32) -> bool) -> Option<u32> {
         let count = self.members.len();
         let start = (key % count.max(1) as u64) as usize;
-        let most = if count <= RANKED_WHOLE {
+        let max_visited = if count <= MAX_FULLY_RANKED {
             count
         } else {
-            SEARCHED
+            MAX_SEARCHED
         };
-        (0..most)
+        (0..max_visited)
             .map(|step| self.members[(start + step) % count].id)
             .find(|&id| usable(id))
     }
 }
 
-fn filled(buckets: &[Vec<Member>]) -> impl Iterator<Item = (usize, &Vec<Member>)> {
+fn non_empty(buckets: &[Vec<Member>]) -> impl Iterator<Item = (usize, &Vec<Member>)> {
     buckets
         .iter()
         .enumerate()
         .filter(|(_, members)| !members.is_empty())
 }
 
-/// The highest weights, the highest first, held in place.
+/// The members or buckets with the highest weights in descending order, without allocation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Ranking {
     count: usize,
@@ -132,16 +135,16 @@
 
 impl Ranking {
     fn push(&mut self, entry: (u64, u32)) {
-        let place = self.entries[..self.count]
+        let slot = self.entries[..self.count]
             .iter()
             .position(|other| entry > *other)
             .unwrap_or(self.count);
-        if place == CANDIDATES {
+        if slot == CANDIDATES {
             return;
         }
         self.count = (self.count + 1).min(CANDIDATES);
-        self.entries[place..self.count].rotate_right(1);
-        self.entries[place] = entry;
+        self.entries[slot..self.count].rotate_right(1);
+        self.entries[slot] = entry;
     }
 
     fn append(&mut self, id: u32) {
--- a/crates/godwitspool-request/src/silence.rs
+++ b/crates/godwitspool-request/src/silence.rs
@@ -1,17 +1,17 @@
-//! Finds connections that went silent for good, by an idle bound learnt from the stream's timeout.
+//! Detects dead connections with an idle timeout that is learnt from the gaps between bytes.
 
 use godwitspool_types::Millis;
 
-/// What a connection waits for.
+/// What an idle timeout measures the wait for.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Wait {
-    /// The first byte of an answer.
+    /// The first byte of an answer, which includes the time in the target's queue.
     FirstByte,
-    /// The next byte of an answer that flows.
+    /// The next byte of an answer that has begun.
     NextByte,
 }
 
-/// The timeout of one kind of read, as the reads of a target have shown it.
+/// The idle timeout for one kind of read, learnt from the gaps between the bytes received.
 ///
 /// ```
 /// use godwitspool_request::{IdleTimeout, Wait};
@@ -24,40 +24,40 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdleTimeout {
     count: u32,
-    mean_ms: f64,
-    peak_ms: f64,
+    mean_gap_ms: f64,
+    max_gap_ms: f64,
     wait: Wait,
 }
 
 impl IdleTimeout {
-    /// Gaps before the bound rests on them.
-    const ENOUGH: u32 = 8;
-    /// Shortest bound between bytes.
-    const SHORTEST_NEXT: Millis = Millis(1_000);
-    /// Shortest bound for a first byte, which waits for the target's queue too.
-    const SHORTEST_FIRST: Millis = Millis(3_000);
-    /// Longest bound, which holds while the timeout isn't known.
-    const LONGEST: Millis = Millis(60_000);
-    /// How many times the longest gap is waited.
-    const PEAKS: f64 = 6.0;
-    /// How many times the mean gap is waited.
-    const MEANS: f64 = 25.0;
-    /// Weight of a new gap in the mean.
-    const WEIGHT: f64 = 0.05;
-    /// How much of the longest gap is left after another gap.
-    const FADE: f64 = 0.995;
+    /// Number of gaps from which on the timeout is derived from them.
+    const MIN_GAPS: u32 = 8;
+    /// Smallest timeout between bytes.
+    const MIN_NEXT_BYTE: Millis = Millis(1_000);
+    /// Smallest timeout for the first byte, which includes the time in the target's queue.
+    const MIN_FIRST_BYTE: Millis = Millis(3_000);
+    /// Largest timeout, also used until [`Self::MIN_GAPS`] gaps are known.
+    const MAX: Millis = Millis(60_000);
+    /// Multiple of the longest gap that the timeout allows for.
+    const MAX_GAP_FACTOR: f64 = 6.0;
+    /// Multiple of the mean gap that the timeout allows for.
+    const MEAN_GAP_FACTOR: f64 = 25.0;
+    /// Weight of a new gap in the moving mean.
+    const MEAN_WEIGHT: f64 = 0.05;
+    /// Factor by which the longest gap decays with each further gap.
+    const MAX_GAP_DECAY: f64 = 0.995;
 
-    /// Starts with nothing known.
+    /// Creates a timeout that has seen no gaps yet.
     pub fn new(wait: Wait) -> Self {
         Self {
             count: 0,
-            mean_ms: 0.0,
-            peak_ms: 0.0,
+            mean_gap_ms: 0.0,
+            max_gap_ms: 0.0,
             wait,
         }
     }
 
-    /// Starts from what other streams of the target have shown.
+    /// Creates a timeout that starts with the gaps seen by another stream of the same target.
     ///
     /// ```
     /// use godwitspool_request::{IdleTimeout, Wait};
@@ -71,58 +71,62 @@
         other.clone()
     }
 
-    /// Records the gap before a byte that came.
+    /// Records the gap before a byte that arrived.
     pub fn observe(&mut self, gap: Millis) {
         let gap_ms = gap.0 as f64;
         self.count = self.count.saturating_add(1);
-        let weight = Self::WEIGHT.max(1.0 / f64::from(self.count));
-        self.mean_ms += (gap_ms - self.mean_ms) * weight;
-        self.peak_ms = (self.peak_ms * Self::FADE).max(gap_ms);
+        let weight = Self::MEAN_WEIGHT.max(1.0 / f64::from(self.count));
+        self.mean_gap_ms += (gap_ms - self.mean_gap_ms) * weight;
+        self.max_gap_ms = (self.max_gap_ms * Self::MAX_GAP_DECAY).max(gap_ms);
     }
 
-    /// Returns how long the connection may be idle before it is expired.
+    /// Returns how long the connection may be idle before it is considered dead.
     pub fn current(&self) -> Millis {
-        if self.count < Self::ENOUGH {
-            return Self::LONGEST;
+        if self.count < Self::MIN_GAPS {
+            return Self::MAX;
         }
-        // A mean of few gaps may lie far below the true one.
-        let doubt = 1.0 + f64::from(Self::ENOUGH) / f64::from(self.count);
-        let learnt = (self.peak_ms * Self::PEAKS).max(self.mean_ms * Self::MEANS) * doubt;
-        let shortest = match self.wait {
-            Wait::FirstByte => Self::SHORTEST_FIRST,
-            Wait::NextByte => Self::SHORTEST_NEXT,
+        // The mean of few gaps can be far below the true mean, so the timeout starts larger.
+        let margin = 1.0 + f64::from(Self::MIN_GAPS) / f64::from(self.count);
+        let learnt = (self.max_gap_ms * Self::MAX_GAP_FACTOR)
+            .max(self.mean_gap_ms * Self::MEAN_GAP_FACTOR)
+            * margin;
+        let min = match self.wait {
+            Wait::FirstByte => Self::MIN_FIRST_BYTE,
+            Wait::NextByte => Self::MIN_NEXT_BYTE,
         };
-        Millis(learnt as u64).clamp(shortest, Self::LONGEST)
+        Millis(learnt as u64).clamp(min, Self::MAX)
     }
 }
 
-/// A connection among those to one target.
+/// The state of a connection to a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionState {
-    /// Identity of the connection.
+    /// Number that identifies the connection among those of its target.
     pub id: u64,
-    /// When the last byte came.
+    /// When the last byte was received.
     pub last_byte: Millis,
-    /// IdleTimeout of its reads; `None` while the connection waits in the pool.
+    /// Idle timeout of its reads; `None` while the connection is idle in the pool.
     pub timeout: Option<IdleTimeout>,
 }
 
-/// What is done about a connection.
+/// What to do with a connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ConnectionAction {
-    /// The connection is closed and never used again; its work moves.
+    /// Close the connection and retry its request on another one.
     Close(u64),
-    /// The target is asked on a new connection whether the work of this one goes on.
+    /// Ask the target over a new connection whether this one's request is still running.
     Probe(u64),
 }
 
-/// Decides on the connections to one target.
+/// Checks the connections to one target for idle timeouts.
 ///
-/// A connection that passes its own bound is expired alone. Its siblings are probed when they
-/// have been quiet for half of their bound, or at once when they wait in the pool.
+/// Only a connection that exceeds its own timeout is closed. If there is one, the others are
+/// probed: those that have been idle for more than half of their timeout, and those in the pool.
 ///
 /// ```
-/// use godwitspool_request::{check_idle_connections, ConnectionState, ConnectionAction, IdleTimeout, Wait};
+/// use godwitspool_request::{
+///     ConnectionAction, ConnectionState, IdleTimeout, Wait, check_idle_connections,
+/// };
 /// use godwitspool_types::Millis;
 ///
 /// let mut timeout = IdleTimeout::new(Wait::NextByte);
--- a/crates/godwitspool-request/src/training_share.rs
+++ b/crates/godwitspool-request/src/training_share.rs
@@ -1,11 +1,12 @@
-//! How much of an engine training may take, so that headroom is left for the interactive.
+//! How many of an engine's slots training may use, so that interactive requests keep headroom.
 
 use godwitspool_types::Millis;
 
-/// The training share of one engine, kept by the one host that places training work on it.
+/// The training share of one engine, kept by the only host that places training work on it.
 ///
-/// Headroom is what interactive requests take on average, their usual spread, and a reserve. Engines
-/// admit whatever they get, so training is cut as soon as less than half of the reserve is free.
+/// The headroom is the mean number of interactive requests plus their mean deviation plus a
+/// reserve. An engine admits every request it receives, so training streams are cut as soon as less
+/// than half of the reserve is free.
 ///
 /// ```
 /// use godwitspool_request::TrainingShare;
@@ -22,49 +23,49 @@
 pub struct TrainingShare {
     interactive: u32,
     mean: f64,
-    seen: Millis,
+    observed_at: Millis,
     slots: u32,
-    spread: f64,
+    deviation: f64,
 }
 
 impl TrainingShare {
-    /// Smallest part of the slots that is kept free of training.
-    const LEAST: f64 = 0.25;
-    /// Part of the slots that is kept free beside interactive requests.
-    const RESERVE: f64 = 0.125;
-    /// Span in which the means take up most of a change.
-    const MEMORY: Millis = Millis(5_000);
+    /// Smallest fraction of the slots that is kept free of training.
+    const MIN_HEADROOM_FRACTION: f64 = 0.25;
+    /// Fraction of the slots that is kept free in addition to those of interactive requests.
+    const RESERVE_FRACTION: f64 = 0.125;
+    /// Time constant of the moving means.
+    const TIME_CONSTANT: Millis = Millis(5_000);
 
-    /// Starts with the least headroom.
+    /// Creates the share of an engine with this many slots; it starts with the minimum headroom.
     pub fn new(slots: u32) -> Self {
         Self {
             interactive: 0,
             mean: 0.0,
-            seen: Millis::ZERO,
+            observed_at: Millis::ZERO,
             slots,
-            spread: 0.0,
+            deviation: 0.0,
         }
     }
 
-    /// Records how many interactive requests the engine runs.
+    /// Records how many interactive requests the engine runs at `now`.
     pub fn observe(&mut self, interactive: u32, now: Millis) {
-        let age = (now - self.seen).0 as f64 / Self::MEMORY.0 as f64;
+        let age = (now - self.observed_at).0 as f64 / Self::TIME_CONSTANT.0 as f64;
         let weight = 1.0 - (-age).exp();
-        let gap = f64::from(interactive) - self.mean;
-        self.spread += (gap.abs() - self.spread) * weight;
-        self.mean += gap * weight;
-        self.seen = now;
+        let difference = f64::from(interactive) - self.mean;
+        self.deviation += (difference.abs() - self.deviation) * weight;
+        self.mean += difference * weight;
+        self.observed_at = now;
         self.interactive = interactive;
     }
 
-    /// Returns how many more training streams the engine may get beside those it runs.
+    /// Returns how many training streams may start on the engine while it runs `training` of them.
     pub fn room(&self, training: u32) -> u32 {
         let busy = self.interactive + training + self.reserve();
         let free = self.slots.saturating_sub(busy);
         self.allowed().saturating_sub(training).min(free)
     }
 
-    /// Returns how many of the training streams that the engine runs are to be cut and resumed
+    /// Returns how many of the `training` streams that the engine runs must be cut, to be resumed
     /// later.
     pub fn cuts(&self, training: u32) -> u32 {
         let busy = self.interactive + training;
@@ -82,12 +83,12 @@
     }
 
     fn headroom(&self) -> u32 {
-        let least = f64::from(self.slots) * Self::LEAST;
-        let wanted = self.mean + self.spread + f64::from(self.reserve());
-        (wanted.max(least).ceil() as u32).min(self.slots)
+        let min_headroom = f64::from(self.slots) * Self::MIN_HEADROOM_FRACTION;
+        let wanted = self.mean + self.deviation + f64::from(self.reserve());
+        (wanted.max(min_headroom).ceil() as u32).min(self.slots)
     }
 
     fn reserve(&self) -> u32 {
-        (f64::from(self.slots) * Self::RESERVE).ceil() as u32
+        (f64::from(self.slots) * Self::RESERVE_FRACTION).ceil() as u32
     }
 }
--- a/crates/godwitspool-request/tests/silence.rs
+++ b/crates/godwitspool-request/tests/silence.rs
@@ -1,4 +1,4 @@
-//! Idle bounds learnt from the timeout of streams.
+//! Idle timeouts learnt from the gaps between the bytes of streams.
 
 use godwitspool_request::{
     ConnectionAction, ConnectionState, IdleTimeout, Wait, check_idle_connections,
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_stream_of_fifty_milliseconds_is_found_silent_within_two_seconds() {
+fn a_stream_with_gaps_of_fifty_milliseconds_times_out_within_two_seconds() {
     let mut rng = StdRng::seed_from_u64(5);
     let timeout = learnt((0..200).map(|_| rng.random_range(30..=120)));
     assert!(timeout.current() < Millis(2_000), "{}", timeout.current());
@@ -32,7 +32,7 @@
     for _ in 0..2_000 {
         let mut timeout = IdleTimeout::new(Wait::NextByte);
         for _ in 0..100 {
-            // Exponential gaps: bursts and long pauses.
+            // Exponentially distributed gaps: bursts and long pauses.
             let gap = (-(1.0 - rng.random::<f64>()).ln() * mean_ms as f64) as u64;
             assert!(Millis(gap) <= timeout.current(), "{gap} ms cut");
             timeout.observe(Millis(gap));
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn an_unknown_pace_is_given_time() {
+fn the_timeout_shrinks_as_gaps_become_known() {
     assert_eq!(learnt([50; 7]).current(), Millis(60_000));
     assert_eq!(learnt([50; 8]).current(), Millis(2_500));
     assert_eq!(learnt([50; 80]).current(), Millis(1_375));
 }
 
 #[test]
-fn one_pause_raises_the_bound_and_fades() {
+fn one_pause_raises_the_timeout_for_a_while() {
     let mut timeout = learnt([50; 50]);
     timeout.observe(Millis(900));
     assert!(timeout.current() >= Millis(5_400));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn only_the_silent_connection_is_condemned_and_quiet_siblings_are_probed() {
+fn only_the_silent_connection_is_closed_and_idle_siblings_are_probed() {
     let timeout = learnt([50; 80]);
     let connection = |id, last_byte, timeout: Option<&IdleTimeout>| ConnectionState {
         id,
