--- a/crates/godwitspool-request/src/admission.rs
+++ b/crates/godwitspool-request/src/admission.rs
@@ -1,4 +1,4 @@
-//! Which interactive request of a service starts next, and which is refused at once.
+//! Decides which interactive request of a service starts next, and which is refused immediately.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,66 +6,67 @@
 
 use crate::{Reason, Refusal};
 
-/// An interactive request that wants to start.
+/// An interactive request that asks for admission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ticket {
-    /// When the answer has to be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Millis,
-    /// Request.
+    /// Identifier by which the actions refer to the request.
     pub request: RequestId,
-    /// Weight of the workspace in the fair share.
+    /// Weight of the workspace in fair queueing; 0 counts as 1.
     pub share: u32,
-    /// Workspace that pays.
+    /// Workspace to which the request is charged.
     pub workspace: Workspace,
 }
 
-/// What happened.
+/// An event to which admission reacts.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionEvent {
     /// A request arrived.
     Arrive(Ticket),
-    /// A request that had started ended.
+    /// A started request ended.
     Done {
-        /// How long it held its slot.
+        /// How long the request held its slot.
         held: Millis,
-        /// Its workspace.
+        /// Workspace of the request.
         workspace: Workspace,
     },
-    /// The caller of a waiting request went away.
+    /// The caller of a waiting request disconnected.
     Withdraw(RequestId),
-    /// Time went by, or room was found.
+    /// Time passed, or a slot became free.
     Tick,
 }
 
-/// What is to be done.
+/// An action that the caller of [`Admission::decide`] carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionAction {
-    /// The request is refused, not having run.
+    /// Refuse the request, which has not run.
     Refuse(RequestId, Refusal),
-    /// The request is handed to a target.
+    /// Send the request to a target.
     Start(RequestId),
 }
 
-/// The requests of one workspace.
+/// The waiting and running requests of one workspace.
 #[derive(Clone, Debug, Default)]
 struct Flow {
     queue: VecDeque<Ticket>,
     running: u32,
-    /// Slot time received, in milliseconds by weight, halved every [`HALF_LIFE`].
+    /// Slot time received, in milliseconds divided by the share; it decays with [`HALF_LIFE`].
     served: f64,
+    /// When the decay was last applied to `served`.
     settled: Millis,
     share: u32,
 }
 
-/// Span after which what a workspace was served counts half.
+/// Half-life of the slot time that a workspace has received.
 const HALF_LIFE: Millis = Millis(10_000);
-/// Weight of a new value in a learnt mean.
-const LEARNING: f64 = 0.1;
+/// Weight of a new value in a moving mean.
+const MEAN_WEIGHT: f64 = 0.1;
 
 /// Admission of the interactive requests of one service.
 ///
-/// The workspace that was served least for its share goes first. A request whose deadline the
-/// queue in front of it would break is refused at once.
+/// The next request to start is taken from the workspace with the least slot time for its share. A
+/// request is refused immediately if the estimated wait in the queue exceeds its deadline.
 ///
 /// ```
 /// use godwitspool_request::{Admission, AdmissionAction, AdmissionEvent, Ticket};
@@ -84,19 +85,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     flows: BTreeMap<Workspace, Flow>,
-    /// Mean time that a request holds its slot.
+    /// Mean time for which a request holds its slot.
     held_ms: f64,
     /// Mean time between starts while requests wait.
     interval_ms: f64,
+    /// Time of the last start, if requests have been waiting since.
     started: Option<Millis>,
     waiting: usize,
 }
 
 impl Admission {
-    /// Most requests that wait.
+    /// Maximum number of waiting requests.
     pub const MAX_WAITING: usize = 8_192;
 
-    /// Decides what an event leads to; `free` is the number of requests that may start now.
+    /// Handles an event and returns the resulting actions. `free` is the number of requests that
+    /// may start now.
     pub fn decide(
         &mut self,
         event: AdmissionEvent,
@@ -133,8 +136,6 @@
         self.flows.values().map(|flow| flow.running).sum()
     }
 
-    // -----------------------------------------------------------------------
-
     fn arrive(
         &mut self,
         ticket: Ticket,
@@ -163,10 +164,10 @@
         self.waiting += 1;
     }
 
-    /// Estimates the wait of a workspace's next request.
+    /// Estimates how long the next request of a workspace would wait.
     ///
-    /// In front of it are its workspace's waiting requests, and of each other workspace as many as
-    /// its share lets pass meanwhile.
+    /// Ahead of it are the waiting requests of its own workspace, and those of other workspaces
+    /// that start in the meantime according to their shares.
     fn estimate(&self, workspace: &Workspace, share: u32) -> Millis {
         let own = self.flows.get(workspace).map_or(0, |flow| flow.queue.len()) as f64 + 1.0;
         let share = f64::from(share.max(1));
@@ -176,11 +177,11 @@
             .filter(|(name, _)| *name != workspace)
             .map(|(_, flow)| (flow.queue.len() as f64).min(own * f64::from(flow.share) / share))
             .sum();
-        Millis(((own + others) * self.pace()) as u64)
+        Millis(((own + others) * self.start_interval()) as u64)
     }
 
-    /// Returns the time between two starts.
-    fn pace(&self) -> f64 {
+    /// Returns the expected time between two starts, in milliseconds.
+    fn start_interval(&self) -> f64 {
         if self.interval_ms > 0.0 {
             self.interval_ms
         } else {
@@ -191,15 +192,16 @@
     fn finish(&mut self, held: Millis, workspace: &Workspace, now: Millis) {
         let held_ms = held.0 as f64;
         let expected = self.held_ms;
-        learn(&mut self.held_ms, held_ms);
+        update_mean(&mut self.held_ms, held_ms);
         if let Some(flow) = self.flows.get_mut(workspace) {
             flow.running = flow.running.saturating_sub(1);
             flow.settle(now);
-            // The expected time was charged at the start.
+            // The mean time was charged at the start, so only the difference is charged here.
             flow.served = (flow.served + (held_ms - expected) / f64::from(flow.share)).max(0.0);
         }
-        self.flows
-            .retain(|_, flow| flow.running > 0 || !flow.queue.is_empty() || flow.worth(now) > 1.0);
+        self.flows.retain(|_, flow| {
+            flow.running > 0 || !flow.queue.is_empty() || flow.decayed(now) > 1.0
+        });
     }
 
     fn withdraw(&mut self, request: RequestId) {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Refuses what can't be answered in time any more.
+    /// Refuses waiting requests that can no longer be answered before their deadline.
     fn expire(&mut self, now: Millis, actions: &mut Vec<AdmissionAction>) {
         let latest = now + Millis(self.held_ms as u64);
         for flow in self.flows.values_mut() {
@@ -231,35 +233,35 @@
             .flows
             .values_mut()
             .filter(|flow| !flow.queue.is_empty());
-        let flow = waiting.min_by(|one, other| one.worth(now).total_cmp(&other.worth(now)))?;
+        let flow = waiting.min_by(|one, other| one.decayed(now).total_cmp(&other.decayed(now)))?;
         let ticket = flow.queue.pop_front()?;
         flow.settle(now);
         flow.served += self.held_ms.max(1.0) / f64::from(flow.share);
         flow.running += 1;
         self.waiting -= 1;
         if let Some(before) = self.started.replace(now) {
-            learn(&mut self.interval_ms, (now - before).0 as f64);
+            update_mean(&mut self.interval_ms, (now - before).0 as f64);
         }
         Some(ticket.request)
     }
 }
 
 impl Flow {
-    fn worth(&self, now: Millis) -> f64 {
+    fn decayed(&self, now: Millis) -> f64 {
         let halvings = (now - self.settled).0 as f64 / HALF_LIFE.0 as f64;
         self.served * 0.5_f64.powf(halvings)
     }
 
     fn settle(&mut self, now: Millis) {
-        self.served = self.worth(now);
+        self.served = self.decayed(now);
         self.settled = now;
     }
 }
 
-fn learn(mean: &mut f64, value: f64) {
+fn update_mean(mean: &mut f64, value: f64) {
     if *mean == 0.0 {
         *mean = value;
     } else {
-        *mean += (value - *mean) * LEARNING;
+        *mean += (value - *mean) * MEAN_WEIGHT;
     }
 }
--- a/crates/godwitspool-request/src/breaker.rs
+++ b/crates/godwitspool-request/src/breaker.rs
@@ -1,14 +1,14 @@
-//! Stops work from going to a target that fails.
+//! A circuit breaker that keeps requests away from a failing target.
 
 use godwitspool_types::Millis;
 use rand::Rng;
 
-/// How an attempt on a target went, as far as the target's health is concerned.
+/// The outcome of an attempt on a target, as far as it concerns the target's health.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptOutcome {
-    /// The target failed in a way that no request can cause, such as a refused connection.
+    /// The attempt failed in a way that no request can cause, such as a refused connection.
     Unreachable,
-    /// The target failed while it ran a request of the caller with this hash.
+    /// The target failed while running a request of the caller with this hash.
     Failed(u64),
     /// The target answered.
     Answered,
@@ -16,8 +16,9 @@
 
 /// The circuit breaker of one target.
 ///
-/// A failure that a request may have caused counts against the target only once callers of two
-/// workspaces have met it with no success between; until then it keeps out its own caller alone.
+/// A failure that a request may have caused opens the breaker only if callers of two workspaces had
+/// failures without a success in between. Until then the breaker rejects only the caller that had
+/// the failures.
 ///
 /// ```
 /// use godwitspool_request::{AttemptOutcome, Breaker};
@@ -32,44 +33,44 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Breaker {
-    /// Callers that met failures since the last success, with their number.
-    blamed: Vec<(u64, u32)>,
-    /// Openings since the last success.
+    /// Callers with failures since the last success, and the number of failures.
+    failed_callers: Vec<(u64, u32)>,
+    /// Number of times the breaker opened since the last success.
     openings: u32,
-    /// Closed to all until then.
-    until: Millis,
-    /// Failures in a row that no request can cause.
+    /// Time until which the breaker rejects all callers.
+    open_until: Millis,
+    /// Failures since the last success that no request can cause.
     unreachable: u32,
 }
 
 impl Breaker {
-    /// Callers that are remembered.
-    const CALLERS: usize = 8;
-    /// Failures that keep out the caller who met them.
-    const OWN_FAILURES: u32 = 3;
-    /// Failures of several callers, or of connections, that open the breaker.
-    const FAILURES: u32 = 3;
-    /// Shortest opening; it doubles with each further one.
-    const SHORTEST: Millis = Millis(500);
-    /// Doublings at most.
-    const DOUBLINGS: u32 = 6;
+    /// Maximum number of callers whose failures are counted.
+    const MAX_CALLERS: usize = 8;
+    /// Number of failures of one caller from which that caller is rejected.
+    const CALLER_FAILURE_THRESHOLD: u32 = 3;
+    /// Number of failures of several callers, or of connections, that opens the breaker.
+    const FAILURE_THRESHOLD: u32 = 3;
+    /// How long the breaker stays open the first time, without jitter. It doubles each time.
+    const MIN_OPEN: Millis = Millis(500);
+    /// Maximum number of doublings of [`Self::MIN_OPEN`].
+    const MAX_DOUBLINGS: u32 = 6;
 
-    /// Tells whether work of a caller may go to the target.
+    /// Returns whether a caller's requests may be sent to the target.
     pub fn allows(&self, caller: u64, now: Millis) -> bool {
-        self.closed(now) && !self.blames(caller)
+        self.closed(now) && !self.rejects(caller)
     }
 
-    /// Tells whether the target takes work of callers that it hasn't failed.
+    /// Returns whether the breaker is closed for callers without failures of their own.
     pub fn closed(&self, now: Millis) -> bool {
-        now >= self.until
+        now >= self.open_until
     }
 
-    /// Records how an attempt went.
+    /// Records the outcome of an attempt.
     pub fn record(&mut self, health: AttemptOutcome, now: Millis, rng: &mut impl Rng) {
         match health {
             AttemptOutcome::Answered => *self = Self::default(),
             AttemptOutcome::Unreachable => self.unreachable += 1,
-            AttemptOutcome::Failed(caller) => self.blame(caller),
+            AttemptOutcome::Failed(caller) => self.count_failure(caller),
         }
         if self.trips() && self.closed(now) {
             self.open(now, rng);
@@ -77,28 +78,32 @@
     }
 
     fn trips(&self) -> bool {
-        let failures: u32 = self.blamed.iter().map(|(_, count)| count).sum();
-        let shared = self.blamed.len() > 1 && failures >= Self::FAILURES;
-        shared || self.unreachable >= Self::FAILURES
+        let failures: u32 = self.failed_callers.iter().map(|(_, count)| count).sum();
+        let shared = self.failed_callers.len() > 1 && failures >= Self::FAILURE_THRESHOLD;
+        shared || self.unreachable >= Self::FAILURE_THRESHOLD
     }
 
     fn open(&mut self, now: Millis, rng: &mut impl Rng) {
-        let span = Self::SHORTEST.0 << self.openings.min(Self::DOUBLINGS);
-        self.until = now + Millis(span + rng.random_range(0..=span / 2));
+        let span = Self::MIN_OPEN.0 << self.openings.min(Self::MAX_DOUBLINGS);
+        self.open_until = now + Millis(span + rng.random_range(0..=span / 2));
         self.openings += 1;
     }
 
-    fn blames(&self, caller: u64) -> bool {
-        self.blamed
+    fn rejects(&self, caller: u64) -> bool {
+        self.failed_callers
             .iter()
-            .any(|&(blamed, count)| blamed == caller && count >= Self::OWN_FAILURES)
+            .any(|&(failed, count)| failed == caller && count >= Self::CALLER_FAILURE_THRESHOLD)
     }
 
-    fn blame(&mut self, caller: u64) {
-        if let Some(entry) = self.blamed.iter_mut().find(|entry| entry.0 == caller) {
+    fn count_failure(&mut self, caller: u64) {
+        if let Some(entry) = self
+            .failed_callers
+            .iter_mut()
+            .find(|entry| entry.0 == caller)
+        {
             entry.1 += 1;
-        } else if self.blamed.len() < Self::CALLERS {
-            self.blamed.push((caller, 1));
+        } else if self.failed_callers.len() < Self::MAX_CALLERS {
+            self.failed_callers.push((caller, 1));
         }
     }
 }
--- a/crates/godwitspool-request/src/idempotency.rs
+++ b/crates/godwitspool-request/src/idempotency.rs
@@ -1,7 +1,8 @@
-//! Requests with an idempotency key run at most once, whichever host they are sent through.
+//! Requests with an idempotency key run at most once, whichever entry host receives them.
 //!
-//! A key has two home hosts by rendezvous. Both have to say that the key is new before its request
-//! runs. When the members change, homes pass what they hold to the new homes.
+//! Each key has two home hosts, found by rendezvous hashing. Both must confirm that the key is new
+//! before its request runs. When the members change, the homes hand their records over to the new
+//! homes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,20 +10,20 @@
 
 use crate::{homes, stable_hash};
 
-/// Home hosts of a key.
+/// Number of home hosts of a key.
 pub const KEY_HOMES: usize = 2;
 
 /// An idempotency key of a workspace.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct IdempotencyKey {
-    /// Key, as the caller chose it.
+    /// Text of the key, chosen by the caller.
     pub key: String,
-    /// Workspace.
+    /// Workspace of the caller; equal keys of different workspaces are distinct.
     pub workspace: Workspace,
 }
 
 impl IdempotencyKey {
-    /// Returns the hash that finds the key's homes.
+    /// Returns the hash that determines the key's home hosts.
     ///
     /// ```
     /// use godwitspool_request::IdempotencyKey;
@@ -34,40 +35,40 @@
         stable_hash(text.as_bytes())
     }
 
-    /// Returns the key's home hosts.
+    /// Returns the key's home hosts among the members.
     pub fn homes<'a>(&self, members: &'a [HostName]) -> Vec<&'a HostName> {
         homes(self.hash(), members, HostName::as_str, KEY_HOMES)
     }
 }
 
-/// What became of the request that a key was first used with.
+/// The outcome of the request with which a key was first used.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Fate {
-    /// It was answered; the answer's bytes.
+    /// The request was answered with these bytes.
     Done(Vec<u8>),
-    /// It runs through this host.
+    /// The request is in progress on this entry host.
     Running(HostName),
-    /// It isn't known.
+    /// The request may have run, but its outcome isn't known.
     Unknown,
 }
 
-/// What a home says to a claim.
+/// The answer of a home host to a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimAnswer {
-    /// The request was answered before.
+    /// The request was answered before, with these bytes.
     Done(Vec<u8>),
     /// A request with the key is in progress.
     InProgress,
-    /// The key was used with another request.
+    /// The key was used before with a different request.
     Mismatch,
-    /// The key is new: as far as this home goes, the request may run.
+    /// The key is new to this home.
     New,
-    /// Whether a request with the key ran isn't known.
+    /// A request with the key may have run.
     Unknown,
 }
 
 impl ClaimAnswer {
-    /// Joins the answers of both homes: the request runs only if the key is new to both.
+    /// Combines the answers of both homes: the request may run only if the key is new to both.
     ///
     /// ```
     /// use godwitspool_request::ClaimAnswer;
@@ -87,48 +88,48 @@
     }
 }
 
-/// What a home holds of a key.
+/// A home's record of a key, as it is handed over to another home.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyRecord {
-    /// What became of the request.
+    /// Outcome of the request.
     pub fate: Fate,
-    /// Key.
+    /// Key that the record is about.
     pub key: IdempotencyKey,
-    /// Time that the record is still kept.
+    /// Remaining time until the record expires.
     pub remaining: Millis,
     /// Fingerprint of the request.
     pub fingerprint: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredKey {
     fate: Fate,
     fingerprint: u64,
     until: Millis,
 }
 
-/// A loss of several members at once, which took with it the records of the keys that had both
-/// homes among them.
+/// The loss of several members within a short time. The records of keys whose homes were all among
+/// them are lost.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyLoss {
     /// Members before the loss.
     pub before: Vec<HostName>,
     /// Members that were lost.
     pub gone: BTreeSet<HostName>,
-    /// Time that the loss still counts.
+    /// Remaining time until all records that were lost would have expired.
     pub remaining: Millis,
 }
 
-/// What a home hands over to another.
+/// An item that a home hands over to another host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum HandoverItem {
-    /// A loss that a host which has just joined must know of.
+    /// A loss, sent to a host that has just joined.
     Loss(KeyLoss),
-    /// A record of a key.
+    /// A record of a key, sent to its new home.
     Record(KeyRecord),
 }
 
-/// The idempotency keys of which a host is a home.
+/// The idempotency keys whose home is this host.
 ///
 /// ```
 /// use godwitspool_request::{ClaimAnswer, IdempotencyKey, KeyHome};
@@ -143,21 +144,22 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct KeyHome {
-    kept: BTreeMap<IdempotencyKey, Kept>,
+    keys: BTreeMap<IdempotencyKey, StoredKey>,
     losses: Vec<(KeyLoss, Millis)>,
     members: Vec<HostName>,
-    recent: Vec<(HostName, Millis)>,
+    recently_lost: Vec<(HostName, Millis)>,
 }
 
 impl KeyHome {
-    /// How long a key's record is kept.
-    pub const KEPT: Millis = Millis(3_600_000);
-    /// Members lost within this span may have held both records of a key.
-    const HANDOVER: Millis = Millis(10_000);
-    /// Bytes of an answer that are kept; of a longer one only the fate is.
+    /// How long the record of a key is kept after its claim.
+    pub const RETENTION: Millis = Millis(3_600_000);
+    /// Members lost within this time are treated as lost together: the records of the first ones
+    /// may not have been handed over before the others were lost.
+    const HANDOVER_TIME: Millis = Millis(10_000);
+    /// Longest answer that is kept, in bytes. The outcome of a longer one becomes unknown.
     pub const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-    /// Claims a key for a request.
+    /// Claims a key for a request with this fingerprint that runs on `host`.
     pub fn claim(
         &mut self,
         key: &IdempotencyKey,
@@ -165,57 +167,61 @@
         host: &HostName,
         now: Millis,
     ) -> ClaimAnswer {
-        self.kept.retain(|_, kept| now < kept.until);
+        self.keys.retain(|_, stored| now < stored.until);
         self.losses.retain(|(_, until)| now < *until);
-        if let Some(kept) = self.kept.get(key) {
-            return kept.answer(fingerprint);
+        if let Some(stored) = self.keys.get(key) {
+            return stored.answer(fingerprint);
         }
         if self.losses.iter().any(|(loss, _)| loss.may_have_held(key)) {
             return ClaimAnswer::Unknown;
         }
         let fate = Fate::Running(host.clone());
-        let until = now + Self::KEPT;
-        let kept = Kept {
+        let until = now + Self::RETENTION;
+        let stored = StoredKey {
             fate,
             fingerprint,
             until,
         };
-        self.kept.insert(key.clone(), kept);
+        self.keys.insert(key.clone(), stored);
         ClaimAnswer::New
     }
 
-    /// Releases a claim whose request is known not to have run.
+    /// Releases a host's claim if the request is known not to have run.
     pub fn release(&mut self, key: &IdempotencyKey, host: &HostName) {
         let running = Fate::Running(host.clone());
-        if self.kept.get(key).is_some_and(|kept| kept.fate == running) {
-            self.kept.remove(key);
+        if self
+            .keys
+            .get(key)
+            .is_some_and(|stored| stored.fate == running)
+        {
+            self.keys.remove(key);
         }
     }
 
-    /// Records what became of a request.
+    /// Records the outcome of a request. An answer that is already recorded stays.
     pub fn settle(&mut self, key: &IdempotencyKey, fate: Fate) {
-        if let Some(kept) = self.kept.get_mut(key)
-            && !matches!(kept.fate, Fate::Done(_))
+        if let Some(stored) = self.keys.get_mut(key)
+            && !matches!(stored.fate, Fate::Done(_))
         {
-            kept.fate = match fate {
+            stored.fate = match fate {
                 Fate::Done(answer) if answer.len() > Self::MAX_ANSWER_BYTES => Fate::Unknown,
                 fate => fate,
             };
         }
     }
 
-    /// Records that a host died or can't be asked: what ran through it has an unknown fate.
+    /// Records that a host crashed or is unreachable: the outcome of its requests becomes unknown.
     pub fn host_lost(&mut self, host: &HostName) {
-        for kept in self.kept.values_mut() {
-            if kept.fate == Fate::Running(host.clone()) {
-                kept.fate = Fate::Unknown;
+        for stored in self.keys.values_mut() {
+            if stored.fate == Fate::Running(host.clone()) {
+                stored.fate = Fate::Unknown;
             }
         }
     }
 
-    /// Takes what another home hands over.
-    pub fn accept(&mut self, handed: HandoverItem, now: Millis) {
-        match handed {
+    /// Stores an item that another home hands over.
+    pub fn accept(&mut self, item: HandoverItem, now: Millis) {
+        match item {
             HandoverItem::Loss(loss) => {
                 let until = now + loss.remaining;
                 self.losses.push((loss, until));
@@ -225,24 +231,25 @@
     }
 
     fn accept_record(&mut self, record: KeyRecord, now: Millis) {
-        let kept = Kept {
+        let stored = StoredKey {
             fate: record.fate,
             fingerprint: record.fingerprint,
             until: now + record.remaining,
         };
-        match self.kept.get_mut(&record.key) {
-            // Two records of a key differ when its homes were cut off; the surest one is kept.
-            Some(own) if own.fate.rank() >= kept.fate.rank() => {}
-            Some(own) => *own = kept,
+        match self.keys.get_mut(&record.key) {
+            // The records of a key differ if its homes were cut off from each other. The one with
+            // the most certain outcome is kept.
+            Some(own) if own.fate.rank() >= stored.fate.rank() => {}
+            Some(own) => *own = stored,
             None => {
-                self.kept.insert(record.key, kept);
+                self.keys.insert(record.key, stored);
             }
         }
     }
 
-    /// Takes the new members, and returns the records to hand over, each with its new home.
+    /// Sets the new members and returns the items to hand over, each with its receiver.
     ///
-    /// Members that left in order have handed over what they held; `lost` names those that didn't.
+    /// `lost` contains the members that left without handing over their records.
     pub fn set_members(
         &mut self,
         own: &HostName,
@@ -250,29 +257,30 @@
         lost: &[HostName],
         now: Millis,
     ) -> Vec<(HostName, HandoverItem)> {
-        self.recent.retain(|(_, when)| now < *when + Self::HANDOVER);
+        self.recently_lost
+            .retain(|(_, when)| now < *when + Self::HANDOVER_TIME);
         let before = std::mem::replace(&mut self.members, members);
         for host in lost {
             self.host_lost(host);
-            self.recent.push((host.clone(), now));
+            self.recently_lost.push((host.clone(), now));
         }
-        if !lost.is_empty() && self.recent.len() >= KEY_HOMES {
-            self.note_loss(before.clone(), now);
+        if !lost.is_empty() && self.recently_lost.len() >= KEY_HOMES {
+            self.record_loss(before.clone(), now);
         }
-        let mut handed = self.losses_for_joined(&before, now);
-        for (key, kept) in &self.kept {
+        let mut items = self.losses_for_joined(&before, now);
+        for (key, stored) in &self.keys {
             let old = key.homes(&before);
             for home in key.homes(&self.members) {
                 if home != own && !old.contains(&home) {
-                    let record = kept.record(key, now);
-                    handed.push((home.clone(), HandoverItem::Record(record)));
+                    let record = stored.record(key, now);
+                    items.push((home.clone(), HandoverItem::Record(record)));
                 }
             }
         }
-        handed
+        items
     }
 
-    /// Returns every record, each with a home of the members that stay; for a host that leaves.
+    /// Returns all records of a host that leaves, each with a home among the remaining members.
     pub fn hand_over(&self, own: &HostName, now: Millis) -> Vec<(HostName, HandoverItem)> {
         let staying: Vec<HostName> = self
             .members
@@ -280,14 +288,14 @@
             .filter(|host| *host != own)
             .cloned()
             .collect();
-        let mut handed = Vec::new();
-        for (key, kept) in &self.kept {
+        let mut items = Vec::new();
+        for (key, stored) in &self.keys {
             for home in key.homes(&staying) {
-                let record = kept.record(key, now);
-                handed.push((home.clone(), HandoverItem::Record(record)));
+                let record = stored.record(key, now);
+                items.push((home.clone(), HandoverItem::Record(record)));
             }
         }
-        handed
+        items
     }
 
     fn losses_for_joined(&self, before: &[HostName], now: Millis) -> Vec<(HostName, HandoverItem)> {
@@ -306,14 +314,18 @@
             .collect()
     }
 
-    fn note_loss(&mut self, mut before: Vec<HostName>, now: Millis) {
-        let gone: BTreeSet<HostName> = self.recent.iter().map(|(host, _)| host.clone()).collect();
+    fn record_loss(&mut self, mut before: Vec<HostName>, now: Millis) {
+        let gone: BTreeSet<HostName> = self
+            .recently_lost
+            .iter()
+            .map(|(host, _)| host.clone())
+            .collect();
         for host in &gone {
             if !before.contains(host) {
                 before.push(host.clone());
             }
         }
-        let remaining = Self::KEPT;
+        let remaining = Self::RETENTION;
         self.losses.push((
             KeyLoss {
                 before,
@@ -333,7 +345,7 @@
     }
 }
 
-impl Kept {
+impl StoredKey {
     fn answer(&self, fingerprint: u64) -> ClaimAnswer {
         if self.fingerprint != fingerprint {
             return ClaimAnswer::Mismatch;
--- a/crates/godwitspool-request/src/keys.rs
+++ b/crates/godwitspool-request/src/keys.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: keys, open routes and names of services.
+//! Authorization of requests: API keys, open routes and the names of services.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -10,17 +10,17 @@
 
 use crate::Reason;
 
-/// Who calls, and which service is meant.
+/// The workspace that calls, and the service that it calls.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Caller {
-    /// The service, qualified.
+    /// Qualified name of the service.
     pub service: ServiceName,
     /// The workspace; empty on an open route without a key.
     pub workspace: Workspace,
 }
 
 #[derive(Clone, Debug)]
-struct Holder {
+struct KeyEntry {
     digest: KeyDigest,
     withdrawn: bool,
     workspace: Workspace,
@@ -32,10 +32,10 @@
     unconfirmed: UnconfirmedKeys,
 }
 
-/// The keys of a configuration, by digest.
+/// The API keys of a configuration, by digest.
 ///
-/// Digests are found under a hash that is seeded at random in each process and are compared in
-/// constant time. A key that isn't known costs a comparison as well.
+/// Digests are looked up by a hash with a random seed per process and compared in constant time. A
+/// lookup of an unknown key also makes a comparison.
 ///
 /// ```
 /// use godwitspool_request::{KeyTable, Reason};
@@ -49,7 +49,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct KeyTable {
-    buckets: HashMap<u64, Vec<Holder>>,
+    buckets: HashMap<u64, Vec<KeyEntry>>,
     open: BTreeSet<ServiceName>,
     rules: BTreeMap<Workspace, Rules>,
     seed: RandomState,
@@ -57,13 +57,13 @@
 }
 
 impl KeyTable {
-    /// Finds the caller of a request from the key's digest, or from the route when it is open.
+    /// Finds the caller of a request from the digest of its key, or from the route if that is open.
     ///
     /// `age` is the time since the configuration was last confirmed.
     ///
     /// # Errors
     ///
-    /// The reason for which the request is refused.
+    /// Returns the reason for which the request is refused.
     pub fn check(
         &self,
         digest: Option<&KeyDigest>,
@@ -73,14 +73,11 @@
         let Some(digest) = digest else {
             return self.check_open(service);
         };
-        let holder = self.find(digest).ok_or(Reason::KeyUnknown)?;
-        if holder.withdrawn {
+        let entry = self.find(digest).ok_or(Reason::KeyUnknown)?;
+        if entry.withdrawn {
             return Err(Reason::KeyWithdrawn);
         }
-        let rules = self
-            .rules
-            .get(&holder.workspace)
-            .ok_or(Reason::KeyUnknown)?;
+        let rules = self.rules.get(&entry.workspace).ok_or(Reason::KeyUnknown)?;
         if let UnconfirmedKeys::RefuseAfterS(seconds) = rules.unconfirmed
             && age > Millis(u64::from(seconds) * 1_000)
         {
@@ -93,11 +90,13 @@
             .ok_or(Reason::ServiceUnknown)?;
         Ok(Caller {
             service: service.clone(),
-            workspace: holder.workspace.clone(),
+            workspace: entry.workspace.clone(),
         })
     }
 
-    /// Returns those of the open requests whose key doesn't hold any more and which are cut.
+    /// Returns the requests in `open` whose key is no longer accepted, so that they can be cut.
+    ///
+    /// `age` is the time since the configuration was last confirmed.
     ///
     /// ```
     /// use godwitspool_request::KeyTable;
@@ -109,18 +108,18 @@
     /// ```
     pub fn unauthorized(&self, open: &[(RequestId, KeyDigest)], age: Millis) -> Vec<RequestId> {
         open.iter()
-            .filter(|(_, digest)| !self.holds(digest, age))
+            .filter(|(_, digest)| !self.accepts(digest, age))
             .map(|&(id, _)| id)
             .collect()
     }
 
-    fn holds(&self, digest: &KeyDigest, age: Millis) -> bool {
-        let Some(holder) = self.find(digest).filter(|holder| !holder.withdrawn) else {
+    fn accepts(&self, digest: &KeyDigest, age: Millis) -> bool {
+        let Some(entry) = self.find(digest).filter(|entry| !entry.withdrawn) else {
             return false;
         };
         match self
             .rules
-            .get(&holder.workspace)
+            .get(&entry.workspace)
             .map(|rules| rules.unconfirmed)
         {
             Some(UnconfirmedKeys::RefuseAfterS(seconds)) => {
@@ -142,18 +141,18 @@
         })
     }
 
-    fn find(&self, digest: &KeyDigest) -> Option<&Holder> {
+    fn find(&self, digest: &KeyDigest) -> Option<&KeyEntry> {
         let Some(bucket) = self.buckets.get(&self.seed.hash_one(digest)) else {
-            // A miss compares too, so that it takes as long as a hit.
+            // A miss also makes a comparison, so that it takes as long as a hit.
             std::hint::black_box(digest.matches(&KeyDigest([0; 32])));
             return None;
         };
         let mut found = None;
-        for holder in bucket {
-            // A digest that is listed twice holds only if it is withdrawn nowhere.
-            if holder.digest.matches(digest) && found.is_none_or(|other: &Holder| !other.withdrawn)
+        for entry in bucket {
+            // If a digest is listed several times, a withdrawn entry takes precedence.
+            if entry.digest.matches(digest) && found.is_none_or(|other: &KeyEntry| !other.withdrawn)
             {
-                found = Some(holder);
+                found = Some(entry);
             }
         }
         found
@@ -182,13 +181,13 @@
                 },
             );
             for key in &rules.keys {
-                let holder = Holder {
+                let entry = KeyEntry {
                     digest: key.digest,
                     withdrawn: key.withdrawn,
                     workspace: workspace.clone(),
                 };
                 let hash = table.seed.hash_one(key.digest);
-                table.buckets.entry(hash).or_default().push(holder);
+                table.buckets.entry(hash).or_default().push(entry);
             }
         }
         table
--- a/crates/godwitspool-request/src/limits.rs
+++ b/crates/godwitspool-request/src/limits.rs
@@ -1,7 +1,8 @@
-//! Rate and concurrency limits of a workspace that hold over all entry hosts.
+//! Rate and concurrency limits of a workspace that apply across all entry hosts.
 //!
-//! Every workspace has one home host by rendezvous. It hands out grants: parts of the limit, by the
-//! demand that hosts report. A host without a grant uses a small fixed part.
+//! Each workspace has one home host, found by rendezvous hashing. The home divides the limits into
+//! grants in proportion to the demand that hosts report. A host without a grant uses a small
+//! default grant.
 
 use std::collections::BTreeMap;
 
@@ -9,33 +10,33 @@
 
 use crate::{Reason, Refusal};
 
-/// A part of a workspace's limits.
+/// The part of a workspace's limits that one host may use.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Grant {
-    /// Requests in progress at once.
+    /// Maximum number of requests in progress.
     pub concurrency: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// The limits of a workspace, over all hosts.
+/// The limits of a workspace across all hosts.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Limits {
-    /// Requests in progress at once.
+    /// Maximum number of requests in progress.
     pub concurrency: u32,
-    /// Entry hosts that share the limits.
+    /// Number of entry hosts that share the limits.
     pub hosts: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: u32,
 }
 
-/// Part of the limits that hosts hold without a grant, all together: one in this number.
-const FIXED_PART: u32 = 4;
-/// Life of a grant.
-const GRANT_LIFE: Millis = Millis(3_000);
+/// The default grants of all hosts together are the limits divided by this number.
+const RESERVED_DIVISOR: u32 = 4;
+/// How long a grant is valid.
+const GRANT_TTL: Millis = Millis(3_000);
 
 impl Limits {
-    /// Returns what a host may use without a grant; a host alone may use all.
+    /// Returns what a host may use without a grant. A single host may use the whole limits.
     ///
     /// ```
     /// use godwitspool_request::Limits;
@@ -53,15 +54,13 @@
             };
         }
         Grant {
-            concurrency: (self.concurrency / FIXED_PART / hosts).max(1),
-            rate: f64::from(self.rate) / f64::from(FIXED_PART * hosts),
+            concurrency: (self.concurrency / RESERVED_DIVISOR / hosts).max(1),
+            rate: f64::from(self.rate) / f64::from(RESERVED_DIVISOR * hosts),
         }
     }
 }
 
-// ---------------------------------------------------------------------------
-
-/// A workspace's use of its limits on one host.
+/// The use of a workspace's limits on one host.
 ///
 /// ```
 /// use godwitspool_request::{Limits, LimitUsage};
@@ -80,17 +79,17 @@
     refilled: Option<Millis>,
     running: u32,
     tokens: f64,
-    wanted: u32,
+    arrivals: u32,
 }
 
 impl LimitUsage {
-    /// Counts a request in.
+    /// Counts the start of a request.
     ///
     /// # Errors
     ///
-    /// The refusal when the part of the limits that this host holds is used up.
+    /// Returns a refusal if this host's part of the concurrency or rate limit is used up.
     pub fn begin(&mut self, limits: Limits, now: Millis) -> Result<(), Refusal> {
-        self.wanted += 1;
+        self.arrivals += 1;
         let grant = self.current(limits, now);
         self.refill(grant, now);
         if self.running >= grant.concurrency {
@@ -105,27 +104,27 @@
         Ok(())
     }
 
-    /// Tells whether a grant is in force.
+    /// Returns whether this host has a valid grant.
     pub fn granted(&self, now: Millis) -> bool {
         self.grant.is_some_and(|(_, until)| now < until)
     }
 
-    /// Counts a request out.
+    /// Counts the end of a request.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Takes a grant of the home host; it was asked for at `asked`.
+    /// Stores a grant that was requested from the home host at `asked`.
     ///
-    /// Its life counts from the asking, so it ends here before the home host counts it as ended.
+    /// Its validity is counted from the request, so it expires here before it expires at the home.
     pub fn grant(&mut self, grant: Grant, asked: Millis) {
-        self.grant = Some((grant, asked + GRANT_LIFE));
+        self.grant = Some((grant, asked + GRANT_TTL));
     }
 
-    /// Returns the demand since the last report: requests that came, and those in progress.
+    /// Returns the demand for the home host and starts counting arrivals anew.
     pub fn report(&mut self) -> LimitDemand {
         LimitDemand {
-            arrived: std::mem::take(&mut self.wanted),
+            arrived: std::mem::take(&mut self.arrivals),
             running: self.running,
         }
     }
@@ -137,28 +136,27 @@
         }
     }
 
-    /// Adds tokens for the time that went by, and holds those of a second at most.
+    /// Adds tokens for the elapsed time, up to the tokens of one second but at least one.
     fn refill(&mut self, grant: Grant, now: Millis) {
-        let most = grant.rate.max(1.0);
+        let capacity = grant.rate.max(1.0);
         let since = self.refilled.replace(now);
-        let earned = since.map_or(most, |since| (now - since).seconds() * grant.rate);
-        self.tokens = (self.tokens + earned).min(most);
+        let earned = since.map_or(capacity, |since| (now - since).seconds() * grant.rate);
+        self.tokens = (self.tokens + earned).min(capacity);
     }
 }
 
-/// Demand of a host for a workspace's limits.
+/// A host's demand for a workspace's limits.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LimitDemand {
-    /// Requests that came since the last report.
+    /// Requests that arrived since the last report, including refused ones.
     pub arrived: u32,
     /// Requests in progress.
     pub running: u32,
 }
 
-// ---------------------------------------------------------------------------
-
+/// A host with a grant that may still be valid.
 #[derive(Clone, Debug)]
-struct Asker {
+struct Grantee {
     demand: f64,
     grant: Grant,
     until: Millis,
@@ -166,9 +164,8 @@
 
 /// The home host's side of a workspace's limits.
 ///
-/// A part of the limits stays reserved for hosts without a grant. What is granted never exceeds the
-/// rest. A home that has just become one grants nothing until the grants of the home before it have
-/// ended.
+/// A part of the limits stays reserved for the default grants; the grants together never exceed
+/// the rest. A new home grants nothing until all grants of the previous home have expired.
 ///
 /// ```
 /// use godwitspool_request::{LimitHome, Limits, LimitDemand};
@@ -176,76 +173,80 @@
 ///
 /// let limits = Limits { concurrency: 100, hosts: 10, rate: 1_000 };
 /// let mut home = LimitHome::new(Millis(0));
-/// let want = LimitDemand { arrived: 50, running: 3 };
-/// assert_eq!(home.ask(&HostName::from("a"), want, limits, Millis(100)), None);
-/// let grant = home.ask(&HostName::from("a"), want, limits, Millis(5_000)).unwrap();
+/// let demand = LimitDemand { arrived: 50, running: 3 };
+/// assert_eq!(home.ask(&HostName::from("a"), demand, limits, Millis(100)), None);
+/// let grant = home.ask(&HostName::from("a"), demand, limits, Millis(5_000)).unwrap();
 /// assert!(grant.rate > 700.0);
 /// ```
 #[derive(Clone, Debug)]
 pub struct LimitHome {
-    askers: BTreeMap<HostName, Asker>,
+    grantees: BTreeMap<HostName, Grantee>,
     since: Millis,
 }
 
 impl LimitHome {
-    /// Starts as the home of a workspace's limits.
+    /// Creates the home of a workspace's limits on a host that became the home at `since`.
     pub fn new(since: Millis) -> Self {
         Self {
-            askers: BTreeMap::new(),
+            grantees: BTreeMap::new(),
             since,
         }
     }
 
-    /// Grants a host its part, by its demand among those of the hosts that asked lately.
+    /// Returns a grant in proportion to the host's share of the demand of all hosts with a grant.
+    ///
+    /// Returns `None` while grants of the previous home may still be valid.
     pub fn ask(
         &mut self,
         host: &HostName,
-        want: LimitDemand,
+        reported: LimitDemand,
         limits: Limits,
         now: Millis,
     ) -> Option<Grant> {
-        self.askers.retain(|_, asker| now <= asker.until);
-        if now <= self.since + GRANT_LIFE {
+        self.grantees.retain(|_, grantee| now <= grantee.until);
+        if now <= self.since + GRANT_TTL {
             return None;
         }
-        let demand = f64::from(want.arrived + want.running) + 1.0;
-        let all: f64 = self.others(host).map(|asker| asker.demand).sum::<f64>() + demand;
+        let demand = f64::from(reported.arrived + reported.running) + 1.0;
+        let total: f64 = self.others(host).map(|grantee| grantee.demand).sum::<f64>() + demand;
         let granted = self
             .others(host)
-            .fold(Grant::default(), |sum, asker| Grant {
-                concurrency: sum.concurrency + asker.grant.concurrency,
-                rate: sum.rate + asker.grant.rate,
+            .fold(Grant::default(), |sum, grantee| Grant {
+                concurrency: sum.concurrency + grantee.grant.concurrency,
+                rate: sum.rate + grantee.grant.rate,
             });
-        let fixed = limits.default_grant();
+        let reserved = limits.default_grant();
         let hosts = limits.hosts.max(1);
         let pool = Grant {
-            concurrency: limits.concurrency.saturating_sub(fixed.concurrency * hosts),
-            rate: f64::from(limits.rate) - fixed.rate * f64::from(hosts),
+            concurrency: limits
+                .concurrency
+                .saturating_sub(reserved.concurrency * hosts),
+            rate: f64::from(limits.rate) - reserved.rate * f64::from(hosts),
         };
-        let part = demand / all;
+        let part = demand / total;
         let fair = (f64::from(pool.concurrency) * part).floor() as u32;
         let left = pool.concurrency.saturating_sub(granted.concurrency);
         let concurrency = fair.min(left);
         let rate = (pool.rate * part).min(pool.rate - granted.rate).max(0.0);
         let grant = Grant { concurrency, rate };
-        self.askers.insert(
+        self.grantees.insert(
             host.clone(),
-            Asker {
+            Grantee {
                 demand,
                 grant,
-                until: now + GRANT_LIFE,
+                until: now + GRANT_TTL,
             },
         );
         Some(Grant {
-            concurrency: grant.concurrency + fixed.concurrency,
-            rate: grant.rate + fixed.rate,
+            concurrency: grant.concurrency + reserved.concurrency,
+            rate: grant.rate + reserved.rate,
         })
     }
 
-    fn others(&self, host: &HostName) -> impl Iterator<Item = &Asker> {
-        self.askers
+    fn others(&self, host: &HostName) -> impl Iterator<Item = &Grantee> {
+        self.grantees
             .iter()
             .filter(move |(name, _)| *name != host)
-            .map(|(_, asker)| asker)
+            .map(|(_, grantee)| grantee)
     }
 }
--- a/crates/godwitspool-request/src/prefixes.rs
+++ b/crates/godwitspool-request/src/prefixes.rs
@@ -1,4 +1,5 @@
-//! Which targets hold which prompt prefixes, by cache events that come late and with gaps.
+//! Tracks which targets hold which prompt prefixes, from cache events that arrive late and may be
+//! lost.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,22 +10,23 @@
 pub struct PrefixEvent {
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Sequence number on the target; a gap means lost events.
+    /// Sequence number given by the target; a gap means that events were lost.
     pub sequence: u64,
-    /// Whether the prefix was stored or evicted.
+    /// `true` if the prefix was stored, `false` if it was evicted.
     pub stored: bool,
 }
 
-/// What one target holds, as far as its events tell.
+/// The prefixes that one target holds according to its events.
 #[derive(Clone, Debug, Default)]
-struct Held {
+struct TargetCache {
+    /// Sequence number of the target's next event.
     next: u64,
-    /// Prefixes by the sequence number that stored them.
-    order: BTreeMap<u64, u64>,
-    sequences: HashMap<u64, u64>,
+    /// Prefixes by the sequence number of the event that stored them.
+    by_sequence: BTreeMap<u64, u64>,
+    by_prefix: HashMap<u64, u64>,
 }
 
-/// Prefixes by target. What it says is a hint: a wrong one costs a prefill and nothing else.
+/// The prefixes held by each target. They are hints: a wrong one only costs a prefill.
 ///
 /// ```
 /// use godwitspool_request::{PrefixEvent, Prefixes};
@@ -38,17 +40,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Prefixes {
     holders: HashMap<u64, Vec<TargetName>>,
-    targets: HashMap<TargetName, Held>,
+    targets: HashMap<TargetName, TargetCache>,
 }
 
 impl Prefixes {
-    /// Prefixes that are remembered of a target.
-    pub const MOST: usize = 4_096;
+    /// Maximum number of prefixes kept for each target.
+    pub const MAX_PER_TARGET: usize = 4_096;
 
-    /// Folds events of a target; `next` is the sequence number of its next event.
+    /// Applies events of a target; `next` is the sequence number of the target's next event.
     ///
-    /// After a gap nothing that was known of the target is trusted. Events that were folded before
-    /// are skipped. A target whose numbers start again has lost its cache.
+    /// Events that were applied before are skipped. After a gap, everything known of the target is
+    /// discarded. The same happens if the sequence numbers start over, since the target has then
+    /// lost its cache.
     pub fn fold(&mut self, target: &TargetName, events: &[PrefixEvent], next: u64) {
         if next < self.next(target) {
             self.forget(target);
@@ -69,44 +72,44 @@
         }
     }
 
-    /// Returns the sequence number to ask a target's events from.
+    /// Returns the sequence number from which to request a target's events.
     pub fn next(&self, target: &TargetName) -> u64 {
-        self.targets.get(target).map_or(0, |held| held.next)
+        self.targets.get(target).map_or(0, |cache| cache.next)
     }
 
-    /// Returns the targets that are thought to hold a prefix.
+    /// Returns the targets that probably hold a prefix.
     pub fn holders(&self, prefix: u64) -> &[TargetName] {
         self.holders.get(&prefix).map_or(&[], Vec::as_slice)
     }
 
-    /// Forgets what a target holds.
+    /// Discards everything known of a target.
     pub fn forget(&mut self, target: &TargetName) {
-        if let Some(held) = self.targets.remove(target) {
-            for &prefix in held.sequences.keys() {
+        if let Some(cache) = self.targets.remove(target) {
+            for &prefix in cache.by_prefix.keys() {
                 self.drop_holder(prefix, target);
             }
         }
     }
 
     fn apply(&mut self, target: &TargetName, event: &PrefixEvent) {
-        let held = self.targets.entry(target.clone()).or_default();
-        held.next = event.sequence + 1;
-        let before = held.sequences.remove(&event.prefix);
-        if let Some(sequence) = before {
-            held.order.remove(&sequence);
+        let cache = self.targets.entry(target.clone()).or_default();
+        cache.next = event.sequence + 1;
+        let previous = cache.by_prefix.remove(&event.prefix);
+        if let Some(sequence) = previous {
+            cache.by_sequence.remove(&sequence);
         }
         if event.stored {
-            held.sequences.insert(event.prefix, event.sequence);
-            held.order.insert(event.sequence, event.prefix);
+            cache.by_prefix.insert(event.prefix, event.sequence);
+            cache.by_sequence.insert(event.sequence, event.prefix);
         }
         let mut evicted = Vec::new();
-        while held.order.len() > Self::MOST
-            && let Some((_, prefix)) = held.order.pop_first()
+        while cache.by_sequence.len() > Self::MAX_PER_TARGET
+            && let Some((_, prefix)) = cache.by_sequence.pop_first()
         {
-            held.sequences.remove(&prefix);
+            cache.by_prefix.remove(&prefix);
             evicted.push(prefix);
         }
-        match (before, event.stored) {
+        match (previous, event.stored) {
             (None, true) => self
                 .holders
                 .entry(event.prefix)
--- a/crates/godwitspool-request/src/quarantine.rs
+++ b/crates/godwitspool-request/src/quarantine.rs
@@ -1,22 +1,23 @@
-//! Requests that crash targets: found, tried one at a time, quarantined.
+//! Detection and quarantine of requests that crash targets.
 //!
-//! When a target crashes, every request in flight on it is a suspect and bears a part of the blame.
-//! A suspect's fingerprint has one home host by rendezvous, which lets one copy run at a time in the
-//! whole fleet, on a target with no other suspect. A suspect that crashes two targets so, and with
-//! them three in all, is quarantined; one that is answered is cleared. One crash in a trial isn't
-//! enough: targets crash by themselves too, and innocents are on trial then.
+//! When a target crashes, every request in flight on it becomes a suspect and gets a part of the
+//! blame. Each fingerprint has one home host, found by rendezvous hashing. The home runs a suspect
+//! on trial: one copy at a time in the whole fleet, on a target without other suspects. A suspect
+//! that is answered is cleared. A suspect is quarantined after three crashes if its blame adds up
+//! to two crashes in trials. One crash in a trial isn't enough, because targets also crash for
+//! other reasons, and a harmless suspect can be on trial at that moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use godwitspool_types::{HostName, Millis, TargetName};
 
-/// Blame for a whole crash.
+/// Blame for one crash, in thousandths of a crash.
 pub const BLAME_PER_CRASH: u32 = 1_000;
 
-/// A request's part in a crash.
+/// A request's part of the blame for a crash.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Blame {
-    /// Part of the blame, in thousandths.
+    /// Part of the blame, in thousandths of a crash.
     pub part: u32,
     /// Fingerprint of the request.
     pub fingerprint: u64,
@@ -24,33 +25,33 @@
     pub target: TargetName,
 }
 
-/// What is known of a suspect.
+/// The crashes in which a suspect was involved.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CrashRecord {
-    /// Blame, in thousandths of a crash.
+    /// Sum of its parts of the blame, in thousandths of a crash.
     pub blame: u32,
     /// Targets that crashed with the request in flight.
     pub crashed: BTreeSet<TargetName>,
-    /// Crashes with the request in flight; one target may crash again.
+    /// Number of crashes with the request in flight, which may include several of one target.
     pub crashes: u32,
-    /// Quarantined until then, when it is.
+    /// End of the quarantine; `None` if the request was never quarantined.
     pub until: Option<Millis>,
 }
 
-/// Where a fingerprint stands.
+/// Whether requests with a fingerprint may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectStatus {
-    /// Nothing is held against it.
+    /// The request isn't suspected and runs normally.
     Clear,
-    /// It isn't run.
+    /// The request is refused.
     Quarantined,
-    /// It runs only on trial.
+    /// The request runs only on trial.
     Suspect,
 }
 
-/// Shares out the blame for a crash among the requests in flight on the target.
+/// Splits the blame for a crash evenly among the requests in flight on the target.
 ///
-/// When one of them was on trial it bears the blame alone, and those beside it none.
+/// If one of them was on trial, it gets all of the blame and the others get none.
 ///
 /// ```
 /// use godwitspool_request::split_blame;
@@ -75,56 +76,54 @@
     fingerprints.into_iter().map(blame).collect()
 }
 
-// ---------------------------------------------------------------------------
-
-/// What a host tells the home of a fingerprint.
+/// A message from a host to the home host of a fingerprint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SuspectEvent {
-    /// A host wants to run a copy.
+    /// A host asks to run a copy of a suspect.
     TrialRequested {
-        /// The host.
+        /// Host that asks.
         host: HostName,
-        /// What the host knows, in case this home is new.
+        /// What the host knows of the suspect, for a home that has just taken over.
         known: CrashRecord,
-        /// Fingerprint.
+        /// Fingerprint of the suspect.
         fingerprint: u64,
     },
     /// A target crashed with the request in flight.
     Blamed(Blame),
-    /// An operator lifts the quarantine.
+    /// An operator lifts the quarantine of a fingerprint.
     Lift(u64),
-    /// The trial ended with no crash.
+    /// A trial ended without a crash.
     TrialEnded {
-        /// Whether the request was answered.
+        /// Whether the request was answered, which clears it.
         answered: bool,
-        /// Fingerprint.
+        /// Fingerprint of the suspect.
         fingerprint: u64,
     },
 }
 
-/// What the home answers, and what it tells all hosts.
+/// A reply of the home host, or a notification that it sends to all hosts.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SuspectAction {
-    /// All hosts are told where the fingerprint stands.
+    /// Notifies all hosts that the fingerprint is suspected or quarantined.
     Announce(u64, CrashRecord),
-    /// Another copy is on trial.
+    /// Replies that another copy is on trial.
     Busy,
-    /// All hosts forget the fingerprint.
+    /// Notifies all hosts that the fingerprint is no longer suspected.
     Clear(u64),
-    /// The request is quarantined for this long.
+    /// Replies that the request stays quarantined for this long.
     Refuse(Millis),
-    /// The host may run its copy, by itself among suspects.
+    /// Replies that the host may run its copy on a target without other suspects.
     Try,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Case {
     record: CrashRecord,
-    seen: Millis,
+    updated: Millis,
     trial: Option<Millis>,
 }
 
-/// The suspects of which a host is the home.
+/// The suspects whose home is this host.
 ///
 /// ```
 /// use godwitspool_request::{Blame, SuspectAction, SuspectEvent, Suspects};
@@ -144,23 +143,23 @@
 }
 
 impl Suspects {
-    /// How long a request stays quarantined.
-    pub const QUARANTINE: Millis = Millis(600_000);
-    /// How long a suspect is remembered.
-    const MEMORY: Millis = Millis(600_000);
-    /// How long a trial holds when its host says nothing more.
-    const TRIAL: Millis = Millis(60_000);
-    /// Crashes at which a request is quarantined, when it bears enough of the blame.
-    const CRASHES: u32 = 3;
-    /// Blame at which a request is quarantined: that of two trials.
-    const GUILT: u32 = 2 * BLAME_PER_CRASH;
-    /// Most suspects that are remembered.
-    const MOST: usize = 65_536;
+    /// How long a request stays in quarantine.
+    pub const QUARANTINE_PERIOD: Millis = Millis(600_000);
+    /// How long a suspect is kept after its last crash.
+    const RETENTION: Millis = Millis(600_000);
+    /// Time after which a trial is over if its host hasn't reported the end.
+    const TRIAL_TIMEOUT: Millis = Millis(60_000);
+    /// Number of crashes from which a request is quarantined, if it also has [`Self::MIN_BLAME`].
+    const MIN_CRASHES: u32 = 3;
+    /// Blame from which a request is quarantined: that of crashes in two trials.
+    const MIN_BLAME: u32 = 2 * BLAME_PER_CRASH;
+    /// Maximum number of suspects kept.
+    const MAX_SUSPECTS: usize = 65_536;
 
-    /// Decides what an event leads to.
+    /// Handles an event and returns the resulting actions.
     pub fn decide(&mut self, event: SuspectEvent, now: Millis) -> Vec<SuspectAction> {
         self.cases
-            .retain(|_, case| now < case.seen + Self::MEMORY || case.on_trial(now));
+            .retain(|_, case| now < case.updated + Self::RETENTION || case.on_trial(now));
         match event {
             SuspectEvent::TrialRequested {
                 known, fingerprint, ..
@@ -185,7 +184,7 @@
 
     fn ask(&mut self, fingerprint: u64, known: CrashRecord, now: Millis) -> SuspectAction {
         let case = self.cases.entry(fingerprint).or_insert_with(|| Case {
-            seen: now,
+            updated: now,
             ..Case::default()
         });
         case.record.merge(known);
@@ -195,26 +194,27 @@
         if case.on_trial(now) {
             return SuspectAction::Busy;
         }
-        case.trial = Some(now + Self::TRIAL);
+        case.trial = Some(now + Self::TRIAL_TIMEOUT);
         SuspectAction::Try
     }
 
     fn blame(&mut self, blame: &Blame, now: Millis) -> Vec<SuspectAction> {
-        if self.cases.len() >= Self::MOST && !self.cases.contains_key(&blame.fingerprint) {
+        if self.cases.len() >= Self::MAX_SUSPECTS && !self.cases.contains_key(&blame.fingerprint) {
             return Vec::new();
         }
         let case = self.cases.entry(blame.fingerprint).or_default();
-        // Of one crash several hosts tell, but a trial has only one end.
-        let another = case.on_trial(now);
-        case.seen = now;
+        // Several hosts may report the same crash, so each target counts once. The first report
+        // during a trial ends the trial and counts even if the target crashed before.
+        let in_trial = case.on_trial(now);
+        case.updated = now;
         case.trial = None;
         let record = &mut case.record;
-        if record.crashed.insert(blame.target.clone()) || another {
+        if record.crashed.insert(blame.target.clone()) || in_trial {
             record.blame += blame.part;
             record.crashes += 1;
         }
-        if record.crashes >= Self::CRASHES && record.blame >= Self::GUILT {
-            record.until = Some(now + Self::QUARANTINE);
+        if record.crashes >= Self::MIN_CRASHES && record.blame >= Self::MIN_BLAME {
+            record.until = Some(now + Self::QUARANTINE_PERIOD);
         }
         vec![SuspectAction::Announce(blame.fingerprint, record.clone())]
     }
@@ -246,7 +246,7 @@
 }
 
 impl CrashRecord {
-    /// Adds what another host knows; it never takes blame away.
+    /// Merges another host's record. The larger values win, so merging never reduces the blame.
     fn merge(&mut self, other: Self) {
         self.blame = self.blame.max(other.blame);
         self.crashed.extend(other.crashed);
@@ -255,9 +255,7 @@
     }
 }
 
-// ---------------------------------------------------------------------------
-
-/// What a host has been told of suspects.
+/// The suspects that home hosts have announced to this host.
 ///
 /// ```
 /// use godwitspool_request::{CrashRecord, SuspectList, SuspectStatus};
@@ -274,35 +272,35 @@
 }
 
 impl SuspectList {
-    /// Takes an announcement.
+    /// Stores an announced record.
     ///
-    /// `until` in the record counts on this host's clock: the receiver turns the span that it was
-    /// sent into a time.
+    /// `record.until` is a time of this host's clock: the receiver converts it from the remaining
+    /// time in the message.
     pub fn announce(&mut self, fingerprint: u64, record: CrashRecord, now: Millis) {
-        self.records.retain(|_, (_, forget)| now < *forget);
-        if self.records.len() < Suspects::MOST || self.records.contains_key(&fingerprint) {
+        self.records.retain(|_, (_, expiry)| now < *expiry);
+        if self.records.len() < Suspects::MAX_SUSPECTS || self.records.contains_key(&fingerprint) {
             self.records
-                .insert(fingerprint, (record, now + Suspects::MEMORY));
+                .insert(fingerprint, (record, now + Suspects::RETENTION));
         }
     }
 
-    /// Forgets a fingerprint.
+    /// Removes a fingerprint that is no longer suspected.
     pub fn clear(&mut self, fingerprint: u64) {
         self.records.remove(&fingerprint);
     }
 
-    /// Tells where a fingerprint stands.
+    /// Returns whether requests with a fingerprint may run.
     pub fn status(&self, fingerprint: u64, now: Millis) -> SuspectStatus {
         match self.records.get(&fingerprint) {
             Some((record, _)) if record.until.is_some_and(|until| now < until) => {
                 SuspectStatus::Quarantined
             }
-            Some((_, forget)) if now < *forget => SuspectStatus::Suspect,
+            Some((_, expiry)) if now < *expiry => SuspectStatus::Suspect,
             _ => SuspectStatus::Clear,
         }
     }
 
-    /// Returns what is known of a fingerprint, to tell its home.
+    /// Returns the record of a fingerprint, to be sent to its home host with a trial request.
     pub fn record(&self, fingerprint: u64) -> CrashRecord {
         self.records
             .get(&fingerprint)
--- a/crates/godwitspool-request/src/refusal.rs
+++ b/crates/godwitspool-request/src/refusal.rs
@@ -1,12 +1,12 @@
-//! Why a request is refused or ends without a whole answer.
+//! Reasons for which a request is refused or ends without a complete answer.
 
 use std::fmt;
 
 use godwitspool_types::{Millis, Ran};
 
-/// A reason for which a request is refused or ends without a whole answer.
+/// A reason for which a request is refused or ends without a complete answer.
 ///
-/// Each reason has a code for machines, an HTTP status, and says whether the request ran.
+/// Each reason has a machine-readable code, an HTTP status and a statement whether the request ran.
 ///
 /// ```
 /// use godwitspool_request::Reason;
@@ -20,68 +20,68 @@
 pub enum Reason {
     /// The body is larger than the entry accepts.
     BodyTooLarge,
-    /// The workspace has as many requests in progress as its limit allows.
+    /// The workspace has reached its limit of requests in progress.
     ConcurrencyLimit,
-    /// No target could be connected to.
+    /// No connection to a target could be opened.
     ConnectFailed,
-    /// The deadline passed after the request was handed to a target.
+    /// The deadline passed after the request was sent to a target.
     DeadlineExceeded,
-    /// The deadline can't be met, going by the queue.
+    /// The estimated wait in the queue exceeds the deadline.
     DeadlineUnreachable,
     /// The entry host is draining.
     Draining,
     /// The outcome of an earlier request with the same idempotency key isn't known.
     FateUnknown,
-    /// A home host of the idempotency key doesn't answer.
+    /// A home host of the idempotency key did not answer.
     HomeUnreachable,
     /// A request with the same idempotency key is in progress.
     KeyInProgress,
-    /// The idempotency key was used with another request.
+    /// The idempotency key was used before with a different request.
     KeyMismatch,
-    /// No key came with the request and the route isn't open.
+    /// The request carries no API key and the route isn't open.
     KeyMissing,
-    /// The key isn't known.
+    /// The API key isn't known.
     KeyUnknown,
-    /// The key is withdrawn.
+    /// The API key is withdrawn.
     KeyWithdrawn,
-    /// The key was withdrawn while the request was in progress.
+    /// The API key was withdrawn while the request was in progress.
     KeyWithdrawnMidway,
-    /// The configuration is too old for the workspace's rule on unconfirmed keys.
+    /// The configuration was last confirmed longer ago than the workspace allows for API keys.
     KeysUnconfirmed,
-    /// No target that fits is live.
+    /// No live target meets the request's requirements.
     NoTarget,
     /// The entry host has no configuration yet.
     NotReady,
     /// Nothing is served at the path.
     PathUnknown,
-    /// The request is quarantined, since targets crashed while they ran it.
+    /// The request is quarantined because targets crashed while running it.
     Quarantined,
     /// The deadline passed in the queue.
     QueueExpired,
     /// The queue has no room.
     QueueFull,
-    /// The workspace sends more requests a second than its limit allows.
+    /// The workspace exceeds its limit of requests per second.
     RateLimit,
     /// The request is malformed.
     RequestInvalid,
-    /// The stream broke off and couldn't be resumed.
+    /// The stream broke off and could not be resumed.
     ResumeFailed,
-    /// The retry budget or the attempts are spent.
+    /// The retry budget or the number of attempts is exhausted.
     RetriesSpent,
     /// The workspace has no service of that name.
     ServiceUnknown,
     /// The request is suspected of crashing targets and another copy of it is on trial.
     SuspectBusy,
-    /// The target was lost after the request was handed to it.
+    /// The target failed or its connection was lost after the request was sent to it.
     TargetLost,
     /// The targets refused the request without running it.
     TargetRefused,
-    /// The target went silent after the request was handed to it.
+    /// The target sent nothing within the idle timeout after the request was sent to it.
     TargetSilent,
 }
 
 impl Reason {
-    /// Every reason, in order of its code.
+    /// All reasons, sorted by code.
     pub const ALL: [Self; 30] = [
         Self::BodyTooLarge,
         Self::ConcurrencyLimit,
@@ -115,7 +115,7 @@
         Self::TargetSilent,
     ];
 
-    /// Returns the code for machines, which is the counter's label too.
+    /// Returns the machine-readable code, which is also the metric label.
     pub fn code(self) -> &'static str {
         match self {
             Self::BodyTooLarge => "body-too-large",
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns the HTTP status.
+    /// Returns the HTTP status code.
     pub fn status(self) -> u16 {
         match self {
             Self::RequestInvalid => 400,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Tells whether a request refused for the reason ran.
+    /// Returns whether a request refused for this reason ran.
     pub fn ran(self) -> Ran {
         match self {
             Self::DeadlineExceeded
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Returns after how long a caller may try again when nothing better is known.
+    /// Returns the delay before a retry when no better estimate is available.
     fn default_retry(self) -> Option<Millis> {
         match self {
             Self::ConcurrencyLimit
@@ -222,28 +222,28 @@
     }
 }
 
-/// A refusal as its caller sees it.
+/// A refusal as it is reported to the caller.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Refusal {
-    /// Whether the request ran.
+    /// Whether the request ran on a target.
     pub ran: Ran,
-    /// Why.
+    /// Reason, which determines the code and the HTTP status.
     pub reason: Reason,
-    /// When the caller may try again.
+    /// Delay after which the caller may retry; `None` sends no `Retry-After` header.
     pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
-    /// Sets when the caller may try again.
+    /// Sets the delay after which the caller may retry.
     pub fn with_retry(mut self, after: Millis) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Answers for every request that carried the same idempotency key.
+    /// Widens the refusal to cover every request with the same idempotency key.
     ///
-    /// Until the key's home hosts have said that the key is new, an earlier request with it may
-    /// have run, so "not run" turns into "unknown".
+    /// Until the key's home hosts have confirmed that the key is new, an earlier request with it
+    /// may have run, so "not run" becomes "unknown".
     ///
     /// ```
     /// use godwitspool_request::{Reason, Refusal};
@@ -258,7 +258,7 @@
         self
     }
 
-    /// Returns the value of the `Retry-After` header, in seconds rounded up.
+    /// Returns the value of the `Retry-After` header in seconds, rounded up and at least 1.
     ///
     /// ```
     /// use godwitspool_request::{Reason, Refusal};
--- a/crates/godwitspool-request/src/rendezvous.rs
+++ b/crates/godwitspool-request/src/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Rendezvous hashing: every host finds the same home for a key, with no agreement.
+//! Rendezvous hashing: all hosts find the same home hosts for a key without coordination.
 
 use rapidhash::v3::rapidhash_v3;
 
-/// Hashes bytes the same way on every host.
+/// Hashes bytes with the same result on every host and in every release.
 ///
 /// ```
 /// use godwitspool_request::stable_hash;
@@ -13,7 +13,7 @@
     rapidhash_v3(bytes)
 }
 
-/// Mixes a key's hash and a member's hash into the member's weight for the key.
+/// Combines a key's hash and a member's hash into the member's weight for the key.
 pub(crate) fn weight(key: u64, member: u64) -> u64 {
     let mut mixed = key ^ member.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -21,7 +21,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Returns the members with the highest weights for a key, the highest first.
+/// Returns the `count` members with the highest weights for a key, in descending order.
 ///
 /// A member that joins or leaves moves only the keys whose homes include it.
 ///
--- a/crates/godwitspool-request/src/resume.rs
+++ b/crates/godwitspool-request/src/resume.rs
@@ -1,32 +1,32 @@
-//! Joins the streams of several targets into one whole answer.
+//! Joins the streams of several attempts into one complete answer.
 
-/// A chunk of a target's stream.
+/// A chunk of a target's stream, which carries at most one token.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StreamToken {
-    /// Attempt whose stream carried the chunk, from 0.
+    /// Number of the attempt whose stream carried the chunk, from 0.
     pub attempt: u32,
-    /// Index of the token in the whole answer, from 0.
+    /// Index of the token in the complete answer, from 0.
     pub index: u32,
     /// Text of the token; empty in a chunk that only ends the stream.
     pub text: String,
-    /// Whether the chunk names a proper end.
+    /// Whether the chunk gives a finish reason that completes the answer.
     pub last: bool,
 }
 
-/// What becomes of a chunk.
+/// How a chunk was handled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TokenOutcome {
-    /// The chunk belongs to a stream that is over, or repeats a token: it is dropped.
+    /// The chunk belongs to an ended stream or repeats a token, and is dropped.
     Dropped,
-    /// Tokens are missing before the chunk: the stream can't be used any further.
+    /// Tokens are missing before the chunk, so the stream can't be used any further.
     Gap,
-    /// The chunk's token is the next one for the caller.
+    /// The chunk carries the next token for the caller.
     Next,
     /// The chunk carries no token.
     Nothing,
 }
 
-/// An answer that is put together from the streams of one or several targets.
+/// Assembles an answer from the streams of one or more attempts.
 ///
 /// ```
 /// use godwitspool_request::{AnswerAssembler, StreamToken, TokenOutcome};
@@ -46,7 +46,7 @@
 }
 
 impl AnswerAssembler {
-    /// Takes a chunk; a token that is [`TokenOutcome::Next`] is passed on to the caller.
+    /// Adds a chunk. The caller is sent only tokens for which this returns [`TokenOutcome::Next`].
     pub fn push(&mut self, token: &StreamToken) -> TokenOutcome {
         if token.attempt != self.attempt || self.finished {
             return TokenOutcome::Dropped;
@@ -66,12 +66,12 @@
         outcome
     }
 
-    /// Takes the stream's terminator.
+    /// Records that the stream of an attempt sent its terminator.
     pub fn terminate(&mut self, attempt: u32) {
         self.terminated |= attempt == self.attempt && self.finished;
     }
 
-    /// Begins another attempt and returns its number; chunks of earlier ones are dropped.
+    /// Begins another attempt and returns its number. Chunks of earlier attempts are dropped.
     ///
     /// ```
     /// use godwitspool_request::{AnswerAssembler, StreamToken, TokenOutcome};
@@ -86,19 +86,19 @@
         self.attempt
     }
 
-    /// Returns the tokens that the caller has, which the next attempt goes on from.
+    /// Returns the tokens that the caller already has; the next attempt continues after them.
     pub fn tokens(&self) -> &[String] {
         &self.tokens
     }
 
-    /// Tells whether every token has arrived, though perhaps not the terminator.
+    /// Returns whether every token has arrived, even if the terminator hasn't.
     ///
-    /// A stream that breaks off here needs no other target: the answer is whole.
+    /// A stream that breaks off in this state isn't resumed, because no token is missing.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Tells whether the answer ended with a proper end and the terminator.
+    /// Returns whether the answer ended with a finish reason followed by the terminator.
     pub fn is_complete(&self) -> bool {
         self.terminated
     }
--- a/crates/godwitspool-request/src/retry.rs
+++ b/crates/godwitspool-request/src/retry.rs
@@ -1,35 +1,35 @@
-//! Whether and when a failed attempt is tried again.
+//! Decides whether and when a failed attempt is retried.
 
 use godwitspool_types::{Millis, Ran};
 use rand::Rng;
 
 use crate::{Reason, Refusal};
 
-/// A reason for which a request is handed to a target once more.
+/// A reason for which a request is sent to a target again.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RetryReason {
     /// The connection to the target failed.
     ConnectFailed,
-    /// A training stream was cut to give headroom to interactive requests.
+    /// A training stream was cut to restore the headroom for interactive requests.
     HeadroomEaten,
-    /// A second copy was started, since the first answer was late.
+    /// A hedge was sent because the answer to the first copy was late.
     Hedged,
-    /// A pooled connection turned out to be dead before the request was written.
+    /// A pooled connection was found dead before the request was written.
     PooledDead,
     /// The stream broke off and was resumed.
     StreamBroken,
-    /// The target is leaving or reclaimed.
+    /// The target is draining or being reclaimed.
     TargetLeaving,
-    /// The target was lost before it answered.
+    /// The target failed or its connection was lost before it answered.
     TargetLost,
-    /// The target refused without running the request.
+    /// The target refused the request without running it.
     TargetRefused,
-    /// The target went silent.
+    /// The target sent nothing within the idle timeout.
     TargetSilent,
 }
 
 impl RetryReason {
-    /// Every reason, in order of its code.
+    /// All reasons, sorted by code.
     pub const ALL: [Self; 9] = [
         Self::ConnectFailed,
         Self::HeadroomEaten,
@@ -42,7 +42,7 @@
         Self::TargetSilent,
     ];
 
-    /// Returns the code for machines, which is the counter's label too.
+    /// Returns the machine-readable code, which is also the metric label.
     ///
     /// ```
     /// use godwitspool_request::RetryReason;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Tells whether the attempt that failed ran.
+    /// Returns whether the failed attempt ran.
     pub fn ran(self) -> Ran {
         match self {
             Self::ConnectFailed | Self::PooledDead | Self::TargetRefused => Ran::NotRun,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Tells whether the next attempt goes on from tokens that the caller already has.
+    /// Returns whether the next attempt continues after the tokens that the caller already has.
     fn resumes(self) -> bool {
         matches!(
             self,
@@ -79,7 +79,7 @@
         )
     }
 
-    /// Returns what the caller is told when no further attempt follows.
+    /// Returns the reason reported to the caller when there is no further attempt.
     fn refusal(self) -> Reason {
         match self {
             Self::ConnectFailed | Self::PooledDead => Reason::ConnectFailed,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Tokens that bound retries to a share of successes.
+/// A retry budget that limits retries to a tenth of the successes.
 ///
 /// ```
 /// use godwitspool_request::RetryBudget;
@@ -104,31 +104,31 @@
 /// ```
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Thousandths of a retry that may still be spent.
+    /// Remaining budget, in thousandths of a retry.
     tokens: u32,
 }
 
 impl RetryBudget {
-    /// Thousandths of a retry that a success earns: one retry for ten successes.
-    const EARNED: u32 = 100;
-    /// Most thousandths that are held.
-    const MOST: u32 = 10_000;
+    /// Budget earned by a success, in thousandths of a retry: ten successes allow one retry.
+    const EARNED_PER_SUCCESS: u32 = 100;
+    /// Largest budget, in thousandths of a retry. A new budget starts with half of it.
+    const MAX_TOKENS: u32 = 10_000;
 
     /// Records a success.
     pub fn succeed(&mut self) {
-        self.tokens = (self.tokens + Self::EARNED).min(Self::MOST);
+        self.tokens = (self.tokens + Self::EARNED_PER_SUCCESS).min(Self::MAX_TOKENS);
     }
 
-    /// Takes the tokens of a retry, or returns `false`.
+    /// Takes one retry from the budget, or returns `false` if less than one is left.
     pub fn take(&mut self) -> bool {
-        let enough = self.holds();
+        let enough = self.has_retry();
         if enough {
             self.tokens -= 1_000;
         }
         enough
     }
 
-    fn holds(&self) -> bool {
+    fn has_retry(&self) -> bool {
         self.tokens >= 1_000
     }
 }
@@ -136,48 +136,48 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            tokens: Self::MOST / 2,
+            tokens: Self::MAX_TOKENS / 2,
         }
     }
 }
 
-/// The attempts of a request so far.
+/// The state of a request's attempts so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Attempts {
-    /// When the answer has to be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Millis,
-    /// Whether the request may run twice without harm.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Attempts that resumed a stream.
+    /// Number of attempts that resumed a stream.
     pub resumed: u32,
-    /// Attempts that started from nothing again.
+    /// Number of attempts that restarted the request from the beginning.
     pub retried: u32,
     /// Whether an attempt may have run.
     pub maybe_ran: bool,
 }
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetryDecision {
-    /// The request is refused.
+    /// Refuse the request.
     Refuse(Refusal),
-    /// The request is tried again after a pause.
+    /// Retry the request after this backoff.
     Retry(Millis),
 }
 
 impl Attempts {
-    /// Most attempts that start from nothing again.
+    /// Maximum number of attempts that restart the request from the beginning.
     pub const MAX_RETRIES: u32 = 3;
-    /// Most attempts that resume a stream.
+    /// Maximum number of attempts that resume a stream.
     pub const MAX_RESUMES: u32 = 8;
-    /// Pause before the first retry; it doubles with each.
-    const BASE_PAUSE: Millis = Millis(10);
+    /// Upper bound of the backoff before the first retry. It doubles with each retry.
+    const BASE_BACKOFF: Millis = Millis(10);
 
-    /// Decides what follows a failure.
+    /// Decides what to do after a failed attempt.
     ///
-    /// A retry that makes a target run the request again takes from both budgets. One that only
-    /// follows a failed connection, or that goes on from the tokens that the caller has, makes no
-    /// target work more, and is bounded by the number of attempts alone.
+    /// A retry that makes a target run the request again is taken from both retry budgets. A retry
+    /// after a failed connection, or one that resumes after the tokens that the caller has, adds no
+    /// load to the targets and is limited only by the number of attempts.
     ///
     /// ```
     /// use godwitspool_request::{Attempts, Reason, RetryBudget, RetryDecision, RetryReason};
@@ -206,16 +206,16 @@
         if self.maybe_ran && !self.idempotent {
             return self.refuse(reason.refusal());
         }
-        let spent = if reason.resumes() {
+        let exhausted = if reason.resumes() {
             self.resumed >= Self::MAX_RESUMES
         } else {
             self.retried >= Self::MAX_RETRIES
         };
-        if spent {
+        if exhausted {
             return self.refuse(Reason::RetriesSpent);
         }
-        let pause = self.pause(retry_after, rng);
-        if now + pause >= self.deadline {
+        let backoff = self.backoff(retry_after, rng);
+        if now + backoff >= self.deadline {
             return self.refuse(reason.refusal());
         }
         if !reason.resumes() && reason.ran() != Ran::NotRun && !take_both(budgets) {
@@ -226,10 +226,10 @@
         } else {
             self.retried += 1;
         }
-        RetryDecision::Retry(pause)
+        RetryDecision::Retry(backoff)
     }
 
-    /// Refuses with what is known of all attempts, not of the last one alone.
+    /// Refuses the request. Whether it ran is decided from all attempts, not only the last one.
     fn refuse(&self, reason: Reason) -> RetryDecision {
         let ran = if self.maybe_ran {
             Ran::Unknown
@@ -242,15 +242,15 @@
         })
     }
 
-    /// Returns the pause before the next attempt: full jitter, but never below `Retry-After`.
-    fn pause(&self, retry_after: Option<Millis>, rng: &mut impl Rng) -> Millis {
-        let ceiling = Self::BASE_PAUSE.0 << self.retried.min(6);
+    /// Returns the backoff before the next attempt: full jitter, added to `Retry-After` if given.
+    fn backoff(&self, retry_after: Option<Millis>, rng: &mut impl Rng) -> Millis {
+        let ceiling = Self::BASE_BACKOFF.0 << self.retried.min(6);
         let jitter = Millis(rng.random_range(0..=ceiling));
         retry_after.map_or(jitter, |after| after + jitter)
     }
 }
 
 fn take_both([workspace, class]: [&mut RetryBudget; 2]) -> bool {
-    let both = workspace.holds() && class.holds();
+    let both = workspace.has_retry() && class.has_retry();
     both && workspace.take() && class.take()
 }
--- a/crates/godwitspool-request/src/target.rs
+++ b/crates/godwitspool-request/src/target.rs
@@ -1,46 +1,47 @@
-//! What is known about one target.
+//! The configuration and load of one target.
 
 use godwitspool_types::{ClassName, Dc, ModelName, ServiceName, TargetName, WeightVersion};
 
 use crate::Breaker;
 
-/// Short identity of a target within one process, valid while the target is known or works.
+/// Identifies a target within one process. It may be reused once the target is removed and has no
+/// requests in flight.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct TargetId(pub(crate) u32);
 
 /// What the platform and the configuration say about a target.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TargetFacts {
-    /// Class.
+    /// Class that gives its price, start time and reclaimability.
     pub class: ClassName,
-    /// Cost of an hour, in thousandths of the currency.
+    /// Cost per hour, in thousandths of the currency.
     pub cost: u64,
-    /// Data centre.
+    /// Data centre in which it runs.
     pub dc: Dc,
-    /// Model that it serves; empty for plain services.
+    /// Model that it serves; empty for a plain service.
     pub model: ModelName,
     /// Whether the platform may reclaim it.
     pub reclaimable: bool,
-    /// Service, qualified.
+    /// Qualified name of the service that it serves.
     pub service: ServiceName,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at the same time.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub accepts_work: bool,
-    /// Name.
+    /// Name by which the target is looked up.
     pub target: TargetName,
 }
 
-/// Load as a target reported it.
+/// The load that a target reported.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests that run or wait.
+    /// Number of requests that run or wait on the target, from all hosts.
     pub busy: u32,
-    /// Weight version in use.
+    /// Weight version that the target serves.
     pub weights: WeightVersion,
 }
 
-/// Weight of a new report in the mean of the others' load.
+/// Weight of a new report in the moving mean of the load from other hosts.
 const REPORT_WEIGHT: f32 = 0.05;
 
 /// A target with its load.
@@ -48,22 +49,22 @@
 pub(crate) struct Target {
     pub(crate) breaker: Breaker,
     pub(crate) facts: TargetFacts,
-    /// Set once the target is no longer listed; it stays until its last request ends.
+    /// Set when the target is no longer listed. Its entry stays until its last request ends.
     pub(crate) gone: bool,
     pub(crate) hash: u64,
-    /// Requests of other hosts, going by the last reports.
+    /// Number of requests from other hosts, estimated from the last reports.
     pub(crate) others: u32,
-    /// Mean of the others' requests; none before the first report.
+    /// Moving mean of the requests from other hosts; `None` before the first report.
     pub(crate) others_mean: Option<f32>,
-    /// Own requests in flight.
+    /// This host's requests in flight.
     pub(crate) own: u32,
-    /// Own requests in flight when the last report came.
+    /// This host's requests in flight when the last report arrived.
     pub(crate) own_before: u32,
     pub(crate) weights: WeightVersion,
 }
 
 impl Target {
-    /// Returns the load: the others' part as reported, and the own part as it is now.
+    /// Returns the load: the reported requests of other hosts and this host's current requests.
     pub(crate) fn load(&self) -> u32 {
         self.others + self.own
     }
@@ -73,10 +74,12 @@
         self.load() * 1_000 / self.facts.slots.max(1)
     }
 
-    /// Takes a report. It lags, so it counts the own requests of about one report ago.
+    /// Applies a report. Reports lag, so this one contains this host's requests as they were at
+    /// about the time of the previous report.
     pub(crate) fn report(&mut self, report: &LoadReport) {
         let others = report.busy.saturating_sub(self.own_before) as f32;
-        // A mean keeps hosts from swinging together after each report.
+        // Without the mean, all hosts would change their choice at once after each report and the
+        // load would oscillate.
         let mean = self.others_mean.unwrap_or(others);
         let mean = mean + (others - mean) * REPORT_WEIGHT;
         self.others_mean = Some(mean);
--- a/crates/godwitspool-request/src/targets.rs
+++ b/crates/godwitspool-request/src/targets.rs
@@ -1,4 +1,4 @@
-//! Chooses the target of a request.
+//! Chooses the target for a request.
 
 use std::collections::HashMap;
 
@@ -12,46 +12,49 @@
     target::Target,
 };
 
-/// Fill in thousandths up to which a pool is preferred over dearer or farther ones.
-const COMFORTABLE: u32 = 750;
-/// Fill in thousandths at which a target takes nothing more.
-const FULL: u32 = 1_000;
-/// Part of a nearly full service that a host may use, in hundredths of an even share.
-const SHARE_SLACK: u64 = 125;
-/// How much fuller the target of an affinity may be than its alternative, in thousandths.
+/// Load in thousandths of the slots below which a target is preferred over costlier or farther
+/// ones.
+const PREFERRED_FILL: u32 = 750;
+/// Load in thousandths of the slots from which a target gets no more requests.
+const MAX_FILL: u32 = 1_000;
+/// Part of a nearly full service that one host may use, in percent of an even share.
+const SHARE_FACTOR: u64 = 125;
+/// How much more loaded the preferred target of an affinity may be than its alternative, in
+/// thousandths of the slots.
 const AFFINITY_SLACK: u32 = 250;
 
 /// What a request needs of its target.
 #[derive(Clone, Debug, Default)]
 pub struct Need {
-    /// Hash of the prefix or group whose requests stay together, when there is one.
+    /// Hash of the prefix or group whose requests should run on the same target, if any.
     pub affinity: Option<u64>,
-    /// Hash of the workspace.
+    /// Hash of the caller's workspace, for the circuit breaker.
     pub caller: u64,
-    /// Fingerprint: copies of one request meet the same two targets on every host.
+    /// Fingerprint, which gives copies of a request the same two candidates on every host.
     pub fingerprint: u64,
-    /// Targets that are thought to hold the request's prefix.
+    /// Targets that probably hold the request's prefix.
     pub holders: Vec<TargetId>,
-    /// Whether the request can go on elsewhere, so that a reclaimable target serves as well.
+    /// Whether the request can be resumed on another target, so that reclaimable targets are used
+    /// like any others.
     pub resumable: bool,
-    /// Service, qualified.
+    /// Qualified name of the service.
     pub service: ServiceName,
-    /// Targets that were tried already.
+    /// Targets that were already tried and are not chosen again.
     pub tried: Vec<TargetId>,
-    /// Weight version that the target must run.
+    /// Weight version that the target must serve; `None` accepts any.
     pub version: Option<WeightVersion>,
 }
 
-/// What a choice has come upon so far.
+/// What was found so far while no target with a preferred load was found.
 #[derive(Default)]
-struct Seen {
-    /// Whether any target fits, full or not.
+struct Fallback {
+    /// Whether any target meets the requirements, even if it is full.
     fits: bool,
-    /// A target with room, though not comfortable.
+    /// A target that isn't full, although its load is above the preferred one.
     room: Option<u32>,
 }
 
-/// Sums over the targets of a service.
+/// Sums over the targets of a service that accept work.
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
     others: u64,
@@ -59,18 +62,18 @@
     slots: u64,
 }
 
-/// The choice of a target.
+/// The result of choosing a target.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
-    /// Targets fit, but all are full.
+    /// Targets meet the requirements, but all are full.
     Full,
-    /// No target fits.
+    /// No target meets the requirements.
     None,
-    /// The target.
+    /// The chosen target.
     Target(TargetId),
 }
 
-/// The targets that a process knows, with their load.
+/// The targets known to a process, with their load.
 ///
 /// ```
 /// use godwitspool_request::{Choice, Need, TargetFacts, Targets};
@@ -101,7 +104,7 @@
 }
 
 impl Targets {
-    /// Starts with no targets, for a host in a data centre.
+    /// Creates an empty set of targets for a host in this data centre.
     pub fn new(dc: Dc) -> Self {
         Self {
             dc,
@@ -114,21 +117,18 @@
         }
     }
 
-    // -----------------------------------------------------------------------
-    // What is known
-
-    /// Sets how many hosts send work to the targets.
+    /// Sets how many hosts send requests to the targets.
     pub fn set_hosts(&mut self, hosts: u32) {
         self.hosts = hosts;
     }
 
-    /// Adds a target, or changes what is known of it.
+    /// Adds a target or updates its facts.
     pub fn put(&mut self, facts: TargetFacts) -> TargetId {
         if let Some(&id) = self.ids.get(&facts.target) {
             if self.table[id as usize].facts != facts {
-                self.withdraw(id);
+                self.remove_from_pool(id);
                 self.table[id as usize].facts = facts;
-                self.offer(id);
+                self.add_to_pool(id);
             }
             return TargetId(id);
         }
@@ -142,25 +142,25 @@
             facts,
             ..Target::default()
         };
-        self.offer(id);
+        self.add_to_pool(id);
         TargetId(id)
     }
 
-    /// Removes a target that is no longer listed; its requests in flight go on.
+    /// Removes a target that is no longer listed. Its requests in flight continue.
     pub fn remove(&mut self, name: &TargetName) {
         if let Some(id) = self.ids.remove(name) {
-            self.withdraw(id);
+            self.remove_from_pool(id);
             self.table[id as usize].gone = true;
-            self.release(id);
+            self.free_if_unused(id);
         }
     }
 
-    /// Takes the load report of a target.
+    /// Applies a load report of a target.
     pub fn report(&mut self, name: &TargetName, report: &LoadReport) {
         if let Some(&id) = self.ids.get(name) {
-            self.count(id, false);
+            self.update_total(id, false);
             self.table[id as usize].report(report);
-            self.count(id, true);
+            self.update_total(id, true);
         }
     }
 
@@ -169,41 +169,38 @@
         self.ids.get(name).copied().map(TargetId)
     }
 
-    /// Returns what is known of a target.
+    /// Returns the facts of a target.
     pub fn facts(&self, id: TargetId) -> &TargetFacts {
         &self.table[id.0 as usize].facts
     }
 
-    /// Returns the estimated load of a target.
+    /// Returns the estimated number of requests on a target, from all hosts.
     pub fn load(&self, id: TargetId) -> u32 {
         self.table[id.0 as usize].load()
     }
 
-    /// Returns the names of the targets that are known.
+    /// Returns the names of the known targets.
     pub fn names(&self) -> impl Iterator<Item = &TargetName> {
         self.ids.keys()
     }
 
-    // -----------------------------------------------------------------------
-    // Work
-
-    /// Counts a request that is handed to a target.
+    /// Counts the start of a request on a target.
     pub fn begin(&mut self, id: TargetId) {
-        self.count(id.0, false);
+        self.update_total(id.0, false);
         self.table[id.0 as usize].own += 1;
-        self.count(id.0, true);
+        self.update_total(id.0, true);
     }
 
-    /// Counts a request that left a target.
+    /// Counts the end of a request on a target.
     pub fn end(&mut self, id: TargetId) {
-        self.count(id.0, false);
+        self.update_total(id.0, false);
         let target = &mut self.table[id.0 as usize];
         target.own = target.own.saturating_sub(1);
-        self.count(id.0, true);
-        self.release(id.0);
+        self.update_total(id.0, true);
+        self.free_if_unused(id.0);
     }
 
-    /// Records how an attempt on a target went, for its breaker.
+    /// Records the outcome of an attempt on a target in its circuit breaker.
     pub fn record(
         &mut self,
         id: TargetId,
@@ -216,8 +213,10 @@
 
     /// Chooses a target for a request.
     ///
-    /// Pools are tried in order: the own data centre first, the cheapest first. In a pool the
-    /// request's fingerprint names two candidates by rendezvous, and the less loaded one is taken.
+    /// Targets that hold the request's prefix come first. Then pools are tried in order: those of
+    /// the host's own data centre first, and the cheapest first in each data centre. In a pool,
+    /// rendezvous hashing of the request's fingerprint gives two candidates, of which the less
+    /// loaded one is chosen.
     pub fn choose(&self, need: &Need, now: Millis) -> Choice {
         let Some(pools) = self.pools.get(&need.service) else {
             return Choice::None;
@@ -228,55 +227,65 @@
         if self.is_over_share(&need.service) {
             return Choice::Full;
         }
-        let mut seen = Seen::default();
+        let mut fallback = Fallback::default();
         for reclaimable in [false, true] {
             for pool in pools {
                 if (pool.reclaimable && !need.resumable) != reclaimable {
                     continue;
                 }
-                if let Some(id) = self.choose_within(pool, need, &mut seen, now) {
+                if let Some(id) = self.choose_within(pool, need, &mut fallback, now) {
                     return Choice::Target(TargetId(id));
                 }
             }
-            // What can't go on elsewhere takes a reclaimable target only when all others are full.
-            if let Some(id) = seen.room {
+            // A request that can't be resumed uses a reclaimable target only if all others are
+            // full.
+            if let Some(id) = fallback.room {
                 return Choice::Target(TargetId(id));
             }
         }
-        if seen.fits {
+        if fallback.fits {
             Choice::Full
         } else {
             Choice::None
         }
     }
 
-    /// Tells whether this host has more than its part of a service whose targets are nearly full.
+    /// Returns whether this host uses more than its part of a service that is nearly full.
     ///
-    /// Reports lag, so hosts that all see the same room would fill it several times over.
+    /// Reports lag, so without this check several hosts would each use the same free slots.
     fn is_over_share(&self, service: &ServiceName) -> bool {
         let Some(total) = self.totals.get(service) else {
             return false;
         };
-        let busy = (total.others + total.own) * 1_000 >= total.slots * u64::from(COMFORTABLE);
-        let part = total.slots * SHARE_SLACK / 100 / u64::from(self.hosts.max(1));
-        self.hosts > 1 && busy && total.own > part
+        let nearly_full =
+            (total.others + total.own) * 1_000 >= total.slots * u64::from(PREFERRED_FILL);
+        let part = total.slots * SHARE_FACTOR / 100 / u64::from(self.hosts.max(1));
+        self.hosts > 1 && nearly_full && total.own > part
     }
 
-    /// Returns the least loaded target of the own data centre that holds the prefix and has room.
+    /// Returns the least loaded target that holds the prefix, is in the host's own data centre and
+    /// has a preferred load.
     fn choose_holder(&self, need: &Need, now: Millis) -> Option<TargetId> {
         let fits = |&id: &TargetId| {
             let target = &self.table[id.0 as usize];
             let facts = &target.facts;
             let near = facts.dc == self.dc && facts.service == need.service;
             let kind = facts.accepts_work && !target.gone && (need.resumable || !facts.reclaimable);
-            near && kind && target.fill() < COMFORTABLE && usable(id.0, target, need, now)
+            near && kind && target.fill() < PREFERRED_FILL && usable(id.0, target, need, now)
         };
         let holders = need.holders.iter().copied().filter(fits);
         holders.min_by_key(|id| self.table[id.0 as usize].fill())
     }
 
-    /// Returns a member with comfortable room, and notes one with room at all.
-    fn choose_within(&self, pool: &Pool, need: &Need, seen: &mut Seen, now: Millis) -> Option<u32> {
+    /// Returns a member with a preferred load. If there is none, records a member that isn't full
+    /// in `fallback`.
+    fn choose_within(
+        &self,
+        pool: &Pool,
+        need: &Need,
+        fallback: &mut Fallback,
+        now: Millis,
+    ) -> Option<u32> {
         let key = need.affinity.unwrap_or(need.fingerprint);
         let usable = |id: u32, target: &Target| usable(id, target, need, now);
         let fill = |id: u32| self.table[id as usize].fill();
@@ -287,27 +296,25 @@
             (Some(first), Some(second)) if fill(first) > fill(second) + slack => Some(second),
             (first, _) => first,
         };
-        seen.fits |= best.is_some();
+        fallback.fits |= best.is_some();
         let ranked = best.into_iter().chain(ranking.ids());
-        if let Some(id) = ranked.clone().find(|&id| fill(id) < COMFORTABLE) {
+        if let Some(id) = ranked.clone().find(|&id| fill(id) < PREFERRED_FILL) {
             return Some(id);
         }
-        if seen.room.is_none() {
-            seen.room = ranked.clone().find(|&id| fill(id) < FULL);
+        if fallback.room.is_none() {
+            fallback.room = ranked.clone().find(|&id| fill(id) < MAX_FILL);
         }
-        if seen.room.is_none() {
-            seen.room = pool.search(key, |id| {
-                fill(id) < FULL && usable(id, &self.table[id as usize])
+        if fallback.room.is_none() {
+            fallback.room = pool.search(key, |id| {
+                fill(id) < MAX_FILL && usable(id, &self.table[id as usize])
             });
-            seen.fits |= seen.room.is_some();
+            fallback.fits |= fallback.room.is_some();
         }
         None
     }
 
-    // -----------------------------------------------------------------------
-
-    /// Counts a target that takes work into the sums of its service, or out of them.
-    fn count(&mut self, id: u32, into: bool) {
+    /// Adds a target that accepts work to the sums of its service, or subtracts it.
+    fn update_total(&mut self, id: u32, include: bool) {
         let target = &self.table[id as usize];
         if !target.facts.accepts_work || target.gone {
             return;
@@ -318,18 +325,18 @@
         let part = [target.others, target.own, target.facts.slots].map(u64::from);
         let sums = [&mut total.others, &mut total.own, &mut total.slots];
         for (sum, part) in sums.into_iter().zip(part) {
-            *sum = if into { *sum + part } else { *sum - part };
+            *sum = if include { *sum + part } else { *sum - part };
         }
     }
 
-    fn offer(&mut self, id: u32) {
+    fn add_to_pool(&mut self, id: u32) {
         let target = &self.table[id as usize];
         if !target.facts.accepts_work {
             return;
         }
         let service = target.facts.service.clone();
         self.totals.entry(service).or_default();
-        self.count(id, true);
+        self.update_total(id, true);
         let target = &self.table[id as usize];
         let TargetFacts {
             cost,
@@ -338,9 +345,9 @@
             ..
         } = target.facts.clone();
         let pools = self.pools.entry(target.facts.service.clone()).or_default();
-        let alike =
+        let same_pool =
             |pool: &Pool| pool.dc == dc && pool.cost == cost && pool.reclaimable == reclaimable;
-        if let Some(pool) = pools.iter_mut().find(|pool| alike(pool)) {
+        if let Some(pool) = pools.iter_mut().find(|pool| same_pool(pool)) {
             pool.add(id, target.hash);
             return;
         }
@@ -348,13 +355,13 @@
         pool.add(id, target.hash);
         pools.push(pool);
         let own = stable_hash(self.dc.as_str().as_bytes());
-        // Each data centre overflows into the others in an order of its own.
+        // Hashing gives each data centre its own order in which it overflows into the others.
         let distance = |dc: &Dc| weight(own, stable_hash(dc.as_str().as_bytes()));
         pools.sort_by_key(|pool| (pool.dc != self.dc, distance(&pool.dc), pool.cost));
     }
 
-    fn withdraw(&mut self, id: u32) {
-        self.count(id, false);
+    fn remove_from_pool(&mut self, id: u32) {
+        self.update_total(id, false);
         let target = &self.table[id as usize];
         if let Some(pools) = self.pools.get_mut(&target.facts.service) {
             pools
@@ -365,7 +372,7 @@
         }
     }
 
-    fn release(&mut self, id: u32) {
+    fn free_if_unused(&mut self, id: u32) {
         let target = &mut self.table[id as usize];
         if target.gone && target.own == 0 {
             target.gone = false;
--- a/crates/godwitspool-request/tests/quarantine.rs
+++ b/crates/godwitspool-request/tests/quarantine.rs
@@ -47,7 +47,9 @@
     let refused = suspects.decide(ask(3, CrashRecord::default()), Millis(1_000));
     assert_eq!(
         refused,
-        [SuspectAction::Refuse(Suspects::QUARANTINE - Millis(1_000))]
+        [SuspectAction::Refuse(
+            Suspects::QUARANTINE_PERIOD - Millis(1_000)
+        )]
     );
 }
 
@@ -85,10 +87,10 @@
     crash(&mut suspects, "t2", &[1], Some(1));
     crash(&mut suspects, "t3", &[1], Some(1));
     assert_eq!(
-        suspects.quarantined(Suspects::QUARANTINE - Millis(1)),
+        suspects.quarantined(Suspects::QUARANTINE_PERIOD - Millis(1)),
         vec![1_u64]
     );
-    assert!(suspects.quarantined(Suspects::QUARANTINE).is_empty());
+    assert!(suspects.quarantined(Suspects::QUARANTINE_PERIOD).is_empty());
     let lifted = suspects.decide(SuspectEvent::Lift(1), Millis(5));
     assert_eq!(lifted, [SuspectAction::Clear(1)]);
     assert!(suspects.quarantined(Millis(6)).is_empty());
--- a/crates/godwitspool-request/tests/retry.rs
+++ b/crates/godwitspool-request/tests/retry.rs
@@ -69,11 +69,11 @@
 #[test]
 fn retry_after_is_honoured_within_the_deadline() {
     let after = Some(Millis(3_000));
-    let RetryDecision::Retry(pause) = fail(&mut idempotent(), RetryReason::TargetRefused, after)
+    let RetryDecision::Retry(backoff) = fail(&mut idempotent(), RetryReason::TargetRefused, after)
     else {
         panic!("refused");
     };
-    assert!(pause >= Millis(3_000));
+    assert!(backoff >= Millis(3_000));
     let after = Some(Millis(10_000));
     let decision = fail(&mut idempotent(), RetryReason::TargetRefused, after);
     assert_eq!(
--- a/crates/godwitspool-request/tests/silence.rs
+++ b/crates/godwitspool-request/tests/silence.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn one_pause_raises_the_timeout_for_a_while() {
+fn one_pause_raises_the_bound_and_fades() {
     let mut timeout = learnt([50; 50]);
     timeout.observe(Millis(900));
     assert!(timeout.current() >= Millis(5_400));
