--- a/crates/godwitspool-request/src/keys.rs
+++ b/crates/godwitspool-request/src/keys.rs
@@ -73,11 +73,14 @@
         let Some(digest) = digest else {
             return self.check_open(service);
         };
-        let entry = self.find(digest).ok_or(Reason::KeyUnknown)?;
-        if entry.withdrawn {
+        let key_entry = self.find(digest).ok_or(Reason::KeyUnknown)?;
+        if key_entry.withdrawn {
             return Err(Reason::KeyWithdrawn);
         }
-        let rules = self.rules.get(&entry.workspace).ok_or(Reason::KeyUnknown)?;
+        let rules = self
+            .rules
+            .get(&key_entry.workspace)
+            .ok_or(Reason::KeyUnknown)?;
         if let UnconfirmedKeys::RefuseAfterS(seconds) = rules.unconfirmed
             && age > Millis(u64::from(seconds) * 1_000)
         {
@@ -90,7 +93,7 @@
             .ok_or(Reason::ServiceUnknown)?;
         Ok(Caller {
             service: service.clone(),
-            workspace: entry.workspace.clone(),
+            workspace: key_entry.workspace.clone(),
         })
     }
 
@@ -114,12 +117,12 @@
     }
 
     fn accepts(&self, digest: &KeyDigest, age: Millis) -> bool {
-        let Some(entry) = self.find(digest).filter(|entry| !entry.withdrawn) else {
+        let Some(key_entry) = self.find(digest).filter(|key_entry| !key_entry.withdrawn) else {
             return false;
         };
         match self
             .rules
-            .get(&entry.workspace)
+            .get(&key_entry.workspace)
             .map(|rules| rules.unconfirmed)
         {
             Some(UnconfirmedKeys::RefuseAfterS(seconds)) => {
@@ -148,11 +151,12 @@
             return None;
         };
         let mut found = None;
-        for entry in bucket {
+        for key_entry in bucket {
             // If a digest is listed several times, a withdrawn entry takes precedence.
-            if entry.digest.matches(digest) && found.is_none_or(|other: &KeyEntry| !other.withdrawn)
+            if key_entry.digest.matches(digest)
+                && found.is_none_or(|other: &KeyEntry| !other.withdrawn)
             {
-                found = Some(entry);
+                found = Some(key_entry);
             }
         }
         found
@@ -181,13 +185,13 @@
                 },
             );
             for key in &rules.keys {
-                let entry = KeyEntry {
+                let key_entry = KeyEntry {
                     digest: key.digest,
                     withdrawn: key.withdrawn,
                     workspace: workspace.clone(),
                 };
                 let hash = table.seed.hash_one(key.digest);
-                table.buckets.entry(hash).or_default().push(entry);
+                table.buckets.entry(hash).or_default().push(key_entry);
             }
         }
         table
--- a/crates/godwitspool-request/tests/admission.rs
+++ b/crates/godwitspool-request/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission, training's share and limits.
+//! Admission of interactive requests, the training share and workspace limits.
 
 use std::collections::BTreeMap;
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// An admission that has seen requests of a tenth of a second on one slot.
-fn practised() -> Admission {
+/// Returns an admission with means learnt from requests that hold one slot for 100 ms each.
+fn warmed_up() -> Admission {
     let mut admission = Admission::default();
     for turn in 0..50 {
         admission.decide(
@@ -61,7 +61,7 @@
 
 #[test]
 fn the_worst_served_goes_first() {
-    let mut admission = practised();
+    let mut admission = warmed_up();
     let now = Millis(10_000);
     for request in 0..20 {
         admission.decide(arrive(request, "large", 60_000), 0, now);
@@ -75,7 +75,7 @@
 
 #[test]
 fn shares_weigh() {
-    let mut admission = practised();
+    let mut admission = warmed_up();
     let now = Millis(10_000);
     for request in 0..60 {
         let mut heavy = ticket(request, "heavy", 60_000);
@@ -85,12 +85,15 @@
     }
     let ids = started(&admission.decide(AdmissionEvent::Tick, 40, now));
     let heavy = ids.iter().filter(|id| **id < 1_000).count();
-    assert!((29..=31).contains(&heavy), "{heavy}");
+    assert!(
+        (29..=31).contains(&heavy),
+        "{heavy} of 40 starts for the workspace with three times the share"
+    );
 }
 
 #[test]
 fn a_deadline_that_the_queue_breaks_is_refused_at_once() {
-    let mut admission = practised();
+    let mut admission = warmed_up();
     let now = Millis(10_000);
     for request in 0..8 {
         let actions = admission.decide(arrive(request, "a", 11_000), 0, now);
@@ -99,20 +102,20 @@
     let actions = admission.decide(arrive(50, "a", 10_400), 0, now);
     assert_eq!(refused(&actions), [Reason::DeadlineUnreachable]);
     let AdmissionAction::Refuse(_, refusal) = &actions[0] else {
-        panic!("started");
+        panic!("the request was started instead of refused");
     };
     assert!(refusal.retry_after.unwrap() >= Millis(800));
     let actions = admission.decide(arrive(51, "b", 10_400), 0, now);
     assert_eq!(
         refused(&actions),
         [],
-        "another workspace waits only for its turn"
+        "requests of one workspace must not use up the wait of another"
     );
 }
 
 #[test]
 fn what_waited_too_long_is_refused_and_never_started() {
-    let mut admission = practised();
+    let mut admission = warmed_up();
     admission.decide(arrive(1, "a", 10_500), 0, Millis(10_000));
     let actions = admission.decide(AdmissionEvent::Tick, 1, Millis(10_480));
     assert_eq!(refused(&actions), [Reason::QueueExpired]);
@@ -122,7 +125,7 @@
 
 #[test]
 fn a_caller_that_went_away_is_forgotten() {
-    let mut admission = practised();
+    let mut admission = warmed_up();
     admission.decide(arrive(1, "a", 20_000), 0, Millis(10_000));
     let gone = AdmissionEvent::Withdraw(RequestId(1));
     assert_eq!(admission.decide(gone, 1, Millis(10_001)), []);
@@ -140,7 +143,8 @@
 }
 
 proptest! {
-    /// Each request is started or refused once at most, never more than the free slots.
+    /// Each request is started or refused at most once, and no more are started than slots are
+    /// free.
     #[test]
     fn nothing_is_started_twice_or_lost(
         steps in prop::collection::vec((0..4_u8, 0..3_usize, 0..3_u32, 1..400_u64), 1..300),
@@ -173,7 +177,8 @@
                 };
                 prop_assert_eq!(outcome.insert(id, began), None);
                 if began {
-                    // Workspaces aren't told in the action; the sum is what is checked.
+                    // The action doesn't name the workspace, so all running requests are counted
+                    // under the first one.
                     running[0] += 1;
                 }
             }
@@ -221,15 +226,17 @@
         share.observe(8, Millis(turn * 500));
     }
     share.observe(0, Millis(50_000));
-    assert_eq!(share.room(0), 5, "one lull gives nothing away");
+    assert_eq!(
+        share.room(0),
+        5,
+        "one observation without interactive requests keeps the headroom"
+    );
     for turn in 0..100 {
         share.observe(0, Millis(50_500 + turn * 500));
     }
     assert_eq!(share.room(0), 12);
 }
 
-// ---------------------------------------------------------------------------
-
 const LIMITS: Limits = Limits {
     concurrency: 110,
     hosts: 11,
@@ -237,7 +244,7 @@
 };
 
 proptest! {
-    /// Through one home, what all hosts may use together stays within the limits.
+    /// With a single home, the grants and default grants of all hosts stay within the limits.
     #[test]
     fn grants_never_exceed_the_limits(
         asks in prop::collection::vec((0..11_usize, 0..500_u32, 0..1_000_u64), 1..200),
--- a/crates/godwitspool-request/tests/idempotency.rs
+++ b/crates/godwitspool-request/tests/idempotency.rs
@@ -110,7 +110,7 @@
         .filter(|host| !lost.contains(host))
         .cloned()
         .collect();
-    // The two are noticed one after the other.
+    // The two losses are detected one after the other.
     let first: Vec<HostName> = members
         .iter()
         .filter(|host| **host != lost[0])
@@ -134,7 +134,7 @@
     }
 }
 
-/// A fleet of homes on one bench: claims go to both homes of a key.
+/// Home hosts in one process. A claim asks both homes of its key.
 struct Fleet {
     homes: BTreeMap<HostName, KeyHome>,
     members: Vec<HostName>,
@@ -210,15 +210,15 @@
         let homes: Vec<HostName> = key.homes(&self.members).into_iter().cloned().collect();
         for home in homes {
             let home = self.homes.get_mut(&home).expect("homes are members");
-            let said = home.claim(key, 1, host, self.now);
-            answer = answer.join(said);
+            let reply = home.claim(key, 1, host, self.now);
+            answer = answer.join(reply);
         }
         answer
     }
 }
 
 proptest! {
-    /// Hosts join, leave in order and crash, one or two at a time: no key ever runs twice.
+    /// No key runs twice while hosts join, leave with a handover, and crash one or two at a time.
     #[test]
     fn no_key_runs_twice(steps in prop::collection::vec((0..8_u8, 0..100_usize), 1..120)) {
         let mut fleet = Fleet::new(6);
--- a/crates/godwitspool-request/tests/keys.rs
+++ b/crates/godwitspool-request/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Keys, open routes and withdrawal.
+//! API keys, open routes and the withdrawal of keys.
 
 use godwitspool_request::{Caller, KeyTable, Reason};
 use godwitspool_types::{Key, Millis, RequestId, ServiceName, Workspace};
--- a/crates/godwitspool-request/tests/quarantine.rs
+++ b/crates/godwitspool-request/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash targets.
+//! Detection and quarantine of requests that crash targets.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,7 +36,7 @@
     crash(&mut suspects, "t2", &[3, 5, 6], Some(3));
     assert!(
         suspects.quarantined(Millis(2)).is_empty(),
-        "a target may crash by itself"
+        "one crash in a trial is not enough, since targets also crash for other reasons"
     );
     assert_eq!(
         suspects.decide(ask(3, CrashRecord::default()), Millis(2)),
@@ -152,8 +152,8 @@
     assert_eq!(list.status(9, Millis(99)), SuspectStatus::Clear);
 }
 
-/// A fleet in which a poison is sent again and again among innocents; returns the crashes and the
-/// innocents that were quarantined.
+/// Simulates a fleet that repeatedly receives a request that crashes targets, among harmless ones.
+/// Returns the targets that it crashed and the harmless requests that were quarantined.
 fn run_fleet(seed: u64, targets: u64) -> (BTreeSet<u64>, Vec<u64>) {
     const POISON: u64 = 0;
     let mut rng = StdRng::seed_from_u64(seed);
@@ -165,11 +165,13 @@
         let alive: Vec<u64> = (0..targets).filter(|id| !crashed.contains(id)).collect();
         let mut in_flight = BTreeMap::<u64, Vec<u64>>::new();
         let mut trials = BTreeMap::<u64, u64>::new();
-        let innocents = (0..30).map(|_| rng.random_range(1..400));
-        let mut fingerprints: Vec<u64> = innocents.collect();
+        let harmless = (0..30).map(|_| rng.random_range(1..400));
+        let mut fingerprints: Vec<u64> = harmless.collect();
         fingerprints.insert(rng.random_range(0..fingerprints.len()), POISON);
         for fingerprint in fingerprints {
-            let target = *alive.choose(&mut rng).expect("some targets live");
+            let target = *alive
+                .choose(&mut rng)
+                .expect("fewer than all targets crashed");
             match known
                 .get(&fingerprint)
                 .copied()
@@ -190,9 +192,9 @@
         for (target, fingerprints) in in_flight {
             let trial = trials.get(&target).copied();
             let mut actions = Vec::new();
-            let by_itself = turn == 20 && target % 7 == 0;
-            if fingerprints.contains(&POISON) || by_itself {
-                if !by_itself {
+            let spontaneous = turn == 20 && target % 7 == 0;
+            if fingerprints.contains(&POISON) || spontaneous {
+                if !spontaneous {
                     crashed.insert(target);
                 }
                 let name = TargetName::from(format!("t{target}"));
@@ -210,12 +212,12 @@
                 match action {
                     SuspectAction::Announce(fingerprint, record) => {
                         let quarantined = record.until.is_some();
-                        let standing = if quarantined {
+                        let status = if quarantined {
                             SuspectStatus::Quarantined
                         } else {
                             SuspectStatus::Suspect
                         };
-                        known.insert(fingerprint, standing);
+                        known.insert(fingerprint, status);
                     }
                     SuspectAction::Clear(fingerprint) => {
                         known.remove(&fingerprint);
@@ -225,19 +227,19 @@
             }
         }
     }
-    let blamed = suspects
+    let quarantined_harmless = suspects
         .quarantined(Millis(1))
         .into_iter()
         .filter(|fingerprint| *fingerprint != POISON);
-    (crashed, blamed.collect())
+    (crashed, quarantined_harmless.collect())
 }
 
 proptest! {
     #[test]
     fn a_poison_crashes_three_targets_at_most_and_no_innocent_is_quarantined(seed: u64) {
-        let (crashed, blamed) = run_fleet(seed, 14);
+        let (crashed, quarantined_harmless) = run_fleet(seed, 14);
         prop_assert!((1..=3).contains(&crashed.len()), "{crashed:?}");
-        prop_assert_eq!(blamed, Vec::<u64>::new());
+        prop_assert_eq!(quarantined_harmless, Vec::<u64>::new());
     }
 
     #[test]
--- a/crates/godwitspool-request/tests/refusal.rs
+++ b/crates/godwitspool-request/tests/refusal.rs
@@ -1,4 +1,4 @@
-//! Reasons of refusal and retry.
+//! Reasons for refusals and retries.
 
 use std::collections::BTreeSet;
 
--- a/crates/godwitspool-request/tests/rendezvous.rs
+++ b/crates/godwitspool-request/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Homes by rendezvous.
+//! Home hosts found by rendezvous hashing.
 
 use godwitspool_request::{homes, stable_hash};
 use proptest::prelude::*;
@@ -10,7 +10,7 @@
 
 #[test]
 fn hashes_are_the_same_in_every_build() {
-    // Hosts of two releases run side by side in an upgrade.
+    // Hosts of two releases run side by side during an upgrade and must agree on the homes.
     assert_eq!(stable_hash(b"godwitspool"), 3_539_889_116_054_760_357);
 }
 
--- a/crates/godwitspool-request/tests/resume.rs
+++ b/crates/godwitspool-request/tests/resume.rs
@@ -1,4 +1,4 @@
-//! Streams that are put together from several targets.
+//! Answers assembled from the streams of several attempts.
 
 use godwitspool_request::{AnswerAssembler, StreamToken, TokenOutcome};
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
     assembler.terminate(0);
     assert!(
         !assembler.is_complete(),
-        "a terminator of an old stream ends nothing"
+        "the terminator of an earlier attempt does not complete the answer"
     );
     assembler.terminate(1);
     assert!(assembler.is_complete());
@@ -58,8 +58,8 @@
 }
 
 proptest! {
-    /// Whatever comes late, twice or crossed: the caller gets tokens 0, 1, 2 … each once, and only
-    /// from the attempt that is current.
+    /// The caller gets tokens 0, 1, 2 and so on exactly once and only from the current attempt,
+    /// even if chunks arrive late, repeatedly or out of order.
     #[test]
     fn no_token_twice_or_missing(steps in prop::collection::vec(step(), 0..400)) {
         let mut assembler = AnswerAssembler::default();
--- a/crates/godwitspool-request/tests/retry.rs
+++ b/crates/godwitspool-request/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and breakers.
+//! Retries, retry budgets and circuit breakers.
 
 use godwitspool_request::{
     AttemptOutcome, Attempts, Breaker, Reason, RetryBudget, RetryDecision, RetryReason,
@@ -32,7 +32,7 @@
         ..idempotent()
     };
     let RetryDecision::Refuse(refusal) = fail(&mut attempts, retry, None) else {
-        panic!("retried");
+        panic!("the request was retried instead of refused");
     };
     assert_eq!((refusal.reason, refusal.ran), (reason, Ran::Unknown));
 }
@@ -49,7 +49,7 @@
     }
     let RetryDecision::Refuse(refusal) = fail(&mut attempts, RetryReason::ConnectFailed, None)
     else {
-        panic!("retried");
+        panic!("the request was retried instead of refused");
     };
     assert_eq!(refusal.ran, Ran::NotRun);
 }
@@ -61,7 +61,7 @@
     attempts.retried = Attempts::MAX_RETRIES;
     let RetryDecision::Refuse(refusal) = fail(&mut attempts, RetryReason::ConnectFailed, None)
     else {
-        panic!("retried");
+        panic!("the request was retried instead of refused");
     };
     assert_eq!(refusal.ran, Ran::Unknown);
 }
@@ -71,7 +71,7 @@
     let after = Some(Millis(3_000));
     let RetryDecision::Retry(backoff) = fail(&mut idempotent(), RetryReason::TargetRefused, after)
     else {
-        panic!("refused");
+        panic!("the request was refused instead of retried");
     };
     assert!(backoff >= Millis(3_000));
     let after = Some(Millis(10_000));
@@ -144,7 +144,7 @@
     breaker.record(AttemptOutcome::Failed(1), Millis(1_000), &mut rng);
     assert!(
         !breaker.allows(9, Millis(1_900)),
-        "the second opening is longer"
+        "the breaker stays open longer the second time"
     );
     breaker.record(AttemptOutcome::Answered, Millis(1_950), &mut rng);
     assert!(breaker.allows(1, Millis(1_950)));
--- a/crates/godwitspool-request/tests/silence.rs
+++ b/crates/godwitspool-request/tests/silence.rs
@@ -34,7 +34,10 @@
         for _ in 0..100 {
             // Exponentially distributed gaps: bursts and long pauses.
             let gap = (-(1.0 - rng.random::<f64>()).ln() * mean_ms as f64) as u64;
-            assert!(Millis(gap) <= timeout.current(), "{gap} ms cut");
+            assert!(
+                Millis(gap) <= timeout.current(),
+                "a live stream was cut after a gap of {gap} ms"
+            );
             timeout.observe(Millis(gap));
         }
     }
--- a/crates/godwitspool-request/tests/targets.rs
+++ b/crates/godwitspool-request/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Choice of targets.
+//! The choice of a target, and prefix hints.
 
 use std::collections::BTreeMap;
 
@@ -101,7 +101,7 @@
     assert_eq!(
         chosen(&targets, &need(1)),
         cheap,
-        "better there than nowhere"
+        "a reclaimable target is used when all others are full"
     );
 }
 
@@ -175,7 +175,7 @@
         };
         let name = name(&targets, &need);
         let index: u32 = name[1..].parse().unwrap();
-        assert_eq!(index % 10, 0, "{name} runs no v9");
+        assert_eq!(index % 10, 0, "{name} does not serve v9");
     }
 }
 
@@ -192,10 +192,14 @@
     assert_eq!(
         targets.load(id),
         25,
-        "the report is from before the five began"
+        "the report predates the five requests"
     );
     targets.report(&name, &report(25));
-    assert_eq!(targets.load(id), 25, "the report holds the five");
+    assert_eq!(
+        targets.load(id),
+        25,
+        "the report contains the five requests"
+    );
     (0..5).for_each(|_| targets.end(id));
     assert_eq!(targets.load(id), 20);
 }
@@ -260,8 +264,8 @@
 }
 
 proptest! {
-    /// Whatever joins, leaves and fills: a choice is always a target that takes work and has room,
-    /// and nothing is refused while some target has room.
+    /// While targets join, leave and fill up, the chosen target always accepts work and isn't full,
+    /// and a target is chosen as long as one isn't full.
     #[test]
     fn a_choice_always_fits(
         steps in prop::collection::vec((0..5_u8, 0..40_u32), 1..300),
@@ -290,8 +294,8 @@
         }
     }
 
-    /// Prefix hints follow the target's true cache when no event is lost, however often events
-    /// are read again, and say nothing after a gap.
+    /// Prefix hints match the target's cache if no event is lost, even if events are read several
+    /// times. After a gap they cover only the events after it.
     #[test]
     fn prefix_hints_survive_late_and_lost_events(
         events in prop::collection::vec((0..6_u64, any::<bool>()), 1..60),
