--- a/crates/godwitspool-request/src/retry.rs
+++ b/crates/godwitspool-request/src/retry.rs
@@ -105,38 +105,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Remaining budget, in thousandths of a retry.
-    tokens: u32,
+    millitokens: u32,
 }
 
 impl RetryBudget {
     /// Budget earned by a success, in thousandths of a retry: ten successes allow one retry.
-    const EARNED_PER_SUCCESS: u32 = 100;
+    const EARNED_MILLITOKENS: u32 = 100;
     /// Largest budget, in thousandths of a retry. A new budget starts with half of it.
-    const MAX_TOKENS: u32 = 10_000;
+    const MAX_MILLITOKENS: u32 = 10_000;
 
     /// Records a success.
     pub fn succeed(&mut self) {
-        self.tokens = (self.tokens + Self::EARNED_PER_SUCCESS).min(Self::MAX_TOKENS);
+        self.millitokens = (self.millitokens + Self::EARNED_MILLITOKENS).min(Self::MAX_MILLITOKENS);
     }
 
     /// Takes one retry from the budget, or returns `false` if less than one is left.
     pub fn take(&mut self) -> bool {
         let enough = self.has_retry();
         if enough {
-            self.tokens -= 1_000;
+            self.millitokens -= 1_000;
         }
         enough
     }
 
     fn has_retry(&self) -> bool {
-        self.tokens >= 1_000
+        self.millitokens >= 1_000
     }
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            tokens: Self::MAX_TOKENS / 2,
+            millitokens: Self::MAX_MILLITOKENS / 2,
         }
     }
 }
--- a/crates/godwitspool-request/src/silence.rs
+++ b/crates/godwitspool-request/src/silence.rs
@@ -33,11 +33,11 @@
     /// Number of gaps from which on the timeout is derived from them.
     const MIN_GAPS: u32 = 8;
     /// Smallest timeout between bytes.
-    const MIN_NEXT_BYTE: Millis = Millis(1_000);
+    const MIN_NEXT_BYTE_TIMEOUT: Millis = Millis(1_000);
     /// Smallest timeout for the first byte, which includes the time in the target's queue.
-    const MIN_FIRST_BYTE: Millis = Millis(3_000);
+    const MIN_FIRST_BYTE_TIMEOUT: Millis = Millis(3_000);
     /// Largest timeout, also used until [`Self::MIN_GAPS`] gaps are known.
-    const MAX: Millis = Millis(60_000);
+    const MAX_TIMEOUT: Millis = Millis(60_000);
     /// Multiple of the longest gap that the timeout allows for.
     const MAX_GAP_FACTOR: f64 = 6.0;
     /// Multiple of the mean gap that the timeout allows for.
@@ -83,7 +83,7 @@
     /// Returns how long the connection may be idle before it is considered dead.
     pub fn current(&self) -> Millis {
         if self.count < Self::MIN_GAPS {
-            return Self::MAX;
+            return Self::MAX_TIMEOUT;
         }
         // The mean of few gaps can be far below the true mean, so the timeout starts larger.
         let margin = 1.0 + f64::from(Self::MIN_GAPS) / f64::from(self.count);
@@ -91,10 +91,10 @@
             .max(self.mean_gap_ms * Self::MEAN_GAP_FACTOR)
             * margin;
         let min = match self.wait {
-            Wait::FirstByte => Self::MIN_FIRST_BYTE,
-            Wait::NextByte => Self::MIN_NEXT_BYTE,
+            Wait::FirstByte => Self::MIN_FIRST_BYTE_TIMEOUT,
+            Wait::NextByte => Self::MIN_NEXT_BYTE_TIMEOUT,
         };
-        Millis(learnt as u64).clamp(min, Self::MAX)
+        Millis(learnt as u64).clamp(min, Self::MAX_TIMEOUT)
     }
 }
 
--- a/crates/godwitspool-request/src/targets.rs
+++ b/crates/godwitspool-request/src/targets.rs
@@ -14,14 +14,14 @@
 
 /// Load in thousandths of the slots below which a target is preferred over costlier or farther
 /// ones.
-const PREFERRED_FILL: u32 = 750;
+const PREFERRED_FILL_PERMILLE: u32 = 750;
 /// Load in thousandths of the slots from which a target gets no more requests.
-const MAX_FILL: u32 = 1_000;
+const MAX_FILL_PERMILLE: u32 = 1_000;
 /// Part of a nearly full service that one host may use, in percent of an even share.
-const SHARE_FACTOR: u64 = 125;
+const MAX_SHARE_PERCENT: u64 = 125;
 /// How much more loaded the preferred target of an affinity may be than its alternative, in
 /// thousandths of the slots.
-const AFFINITY_SLACK: u32 = 250;
+const AFFINITY_SLACK_PERMILLE: u32 = 250;
 
 /// What a request needs of its target.
 #[derive(Clone, Debug, Default)]
@@ -258,8 +258,8 @@
             return false;
         };
         let nearly_full =
-            (total.others + total.own) * 1_000 >= total.slots * u64::from(PREFERRED_FILL);
-        let part = total.slots * SHARE_FACTOR / 100 / u64::from(self.hosts.max(1));
+            (total.others + total.own) * 1_000 >= total.slots * u64::from(PREFERRED_FILL_PERMILLE);
+        let part = total.slots * MAX_SHARE_PERCENT / 100 / u64::from(self.hosts.max(1));
         self.hosts > 1 && nearly_full && total.own > part
     }
 
@@ -271,7 +271,9 @@
             let facts = &target.facts;
             let near = facts.dc == self.dc && facts.service == need.service;
             let kind = facts.accepts_work && !target.gone && (need.resumable || !facts.reclaimable);
-            near && kind && target.fill() < PREFERRED_FILL && usable(id.0, target, need, now)
+            near && kind
+                && target.fill() < PREFERRED_FILL_PERMILLE
+                && usable(id.0, target, need, now)
         };
         let holders = need.holders.iter().copied().filter(fits);
         holders.min_by_key(|id| self.table[id.0 as usize].fill())
@@ -291,22 +293,25 @@
         let fill = |id: u32| self.table[id as usize].fill();
         let ranking = pool.rank(key, &self.table, usable);
         let mut ids = ranking.ids();
-        let slack = need.affinity.map_or(0, |_| AFFINITY_SLACK);
+        let slack = need.affinity.map_or(0, |_| AFFINITY_SLACK_PERMILLE);
         let best = match (ids.next(), ids.next()) {
             (Some(first), Some(second)) if fill(first) > fill(second) + slack => Some(second),
             (first, _) => first,
         };
         fallback.fits |= best.is_some();
         let ranked = best.into_iter().chain(ranking.ids());
-        if let Some(id) = ranked.clone().find(|&id| fill(id) < PREFERRED_FILL) {
+        if let Some(id) = ranked
+            .clone()
+            .find(|&id| fill(id) < PREFERRED_FILL_PERMILLE)
+        {
             return Some(id);
         }
         if fallback.room.is_none() {
-            fallback.room = ranked.clone().find(|&id| fill(id) < MAX_FILL);
+            fallback.room = ranked.clone().find(|&id| fill(id) < MAX_FILL_PERMILLE);
         }
         if fallback.room.is_none() {
             fallback.room = pool.search(key, |id| {
-                fill(id) < MAX_FILL && usable(id, &self.table[id as usize])
+                fill(id) < MAX_FILL_PERMILLE && usable(id, &self.table[id as usize])
             });
             fallback.fits |= fallback.room.is_some();
         }
