--- a/crates/godwitspool-request/src/admission.rs
+++ b/crates/godwitspool-request/src/admission.rs
@@ -66,7 +66,7 @@
 /// Admission of the interactive requests of one service.
 ///
 /// The next request to start is taken from the workspace with the least slot time for its share. A
-/// request is refused immediately if the estimated wait in the queue exceeds its deadline.
+/// request is refused immediately if the estimated wait leaves too little time before its deadline.
 ///
 /// ```
 /// use godwitspool_request::{Admission, AdmissionAction, AdmissionEvent, Ticket};
--- a/crates/godwitspool-request/src/refusal.rs
+++ b/crates/godwitspool-request/src/refusal.rs
@@ -26,7 +26,7 @@
     ConnectFailed,
     /// The deadline passed after the request was sent to a target.
     DeadlineExceeded,
-    /// The estimated wait in the queue exceeds the deadline.
+    /// The estimated wait in the queue leaves too little time before the deadline.
     DeadlineUnreachable,
     /// The entry host is draining.
     Draining,
