--- a/crates/godwitspool-host/src/batch/book.rs
+++ b/crates/godwitspool-host/src/batch/book.rs
@@ -10,7 +10,7 @@
 use super::{
     Batch, BatchRecord, Finished, ItemResult, ResultPage, StoredBatch, Submission, partition_of,
 };
-use crate::{StoreBounds, http::Waker, store::Keyed};
+use crate::{StoreBounds, http::Waker, store::Record};
 
 /// Bytes of results in one answer; the interface allows a megabyte.
 const PAGE_BYTES: usize = 900 * 1024;
@@ -49,7 +49,7 @@
 
 impl Part {
     /// Returns records of what items have generated beyond what was saved of them.
-    fn unsaved(&mut self, events: u64, bounds: &StoreBounds) -> Vec<Keyed> {
+    fn unsaved(&mut self, events: u64, bounds: &StoreBounds) -> Vec<Record> {
         let mut records = Vec::new();
         for batch in self.batches.values_mut().filter(|batch| batch.is_open()) {
             let id = &batch.submission.id;
@@ -66,14 +66,14 @@
     }
 
     /// Returns records that remove what was saved of items of batches that are over.
-    fn take_obsolete(&mut self) -> Vec<Keyed> {
+    fn take_obsolete(&mut self) -> Vec<Record> {
         let mut records = Vec::new();
         for batch in self.batches.values_mut().filter(|batch| !batch.is_open()) {
             let id = &batch.submission.id;
             for (index, item) in batch.items.iter_mut().enumerate() {
                 if item.saved.take().is_some() {
                     let key = BatchRecord::progress_key(id, index as u32);
-                    records.push(Keyed::removed(key));
+                    records.push(Record::tombstone(key));
                 }
             }
         }
@@ -171,7 +171,7 @@
 
     /// Gives up a partition that is owned under an epoch and returns what of its items the store
     /// doesn't hold yet. Results that wait for the store are still written.
-    pub fn take_unsaved(&self, part: u32, epoch: u64, bounds: &StoreBounds) -> Vec<Keyed> {
+    pub fn take_unsaved(&self, part: u32, epoch: u64, bounds: &StoreBounds) -> Vec<Record> {
         let mut parts = self.lock();
         let owned = parts.get(&part).is_some_and(|part| part.epoch == epoch);
         let taken = owned.then(|| parts.remove(&part)).flatten();
@@ -182,7 +182,7 @@
 
     /// Returns, for each partition, what the items that run have generated since they were saved
     /// last, if it is `events` or more; and the keys of what batches that have ended saved.
-    pub fn unsaved(&self, events: u64, bounds: &StoreBounds) -> Vec<(u32, Vec<Keyed>)> {
+    pub fn unsaved(&self, events: u64, bounds: &StoreBounds) -> Vec<(u32, Vec<Record>)> {
         let mut parts = self.lock();
         let unsaved = parts.iter_mut().map(|(number, part)| {
             let mut records = part.unsaved(events, bounds);
--- a/crates/godwitspool-host/src/batch/listed.rs
+++ b/crates/godwitspool-host/src/batch/listed.rs
@@ -4,7 +4,7 @@
 };
 
 use super::{BatchRecord, ItemResult, Progress};
-use crate::store::Stored;
+use crate::store::StoredRecord;
 
 /// Results and progress of batches, put together from a partition's records.
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
 
 impl Listed {
     /// Puts records together; unreadable ones are left out.
-    pub fn read(part: u32, records: Vec<Stored>) -> Self {
+    pub fn read(part: u32, records: Vec<StoredRecord>) -> Self {
         let mut listed = Self::default();
         for stored in records {
             let added = BatchRecord::read(stored)
--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -16,7 +16,7 @@
 use crate::{
     StoreBounds,
     process::unix_ms,
-    store::{Store, StoreError, Stored, Topic, Writer, read_all},
+    store::{Store, StoreError, StoredRecord, Topic, Writer, read_all},
 };
 
 /// Longest wait for a new batch in one read: an answer that is lost delays a batch by so much.
@@ -209,7 +209,7 @@
         }
     }
 
-    fn load(&self, topic: Topic) -> Result<(Vec<Stored>, u64), StoreError> {
+    fn load(&self, topic: Topic) -> Result<(Vec<StoredRecord>, u64), StoreError> {
         read_all(self.store.as_ref(), topic, self.part, None, |_| true)
     }
 
@@ -244,8 +244,8 @@
 
     fn assemble(
         &self,
-        results: Vec<Stored>,
-        records: Vec<Stored>,
+        results: Vec<StoredRecord>,
+        records: Vec<StoredRecord>,
         assembly: &mut Assembly,
     ) -> (Vec<Batch>, HashMap<String, u64>) {
         let mut listed = Listed::read(self.part, results);
@@ -274,7 +274,7 @@
         (batches.into_values().collect(), positions)
     }
 
-    fn follow(&self, records: Vec<Stored>, assembly: &mut Assembly) {
+    fn follow(&self, records: Vec<StoredRecord>, assembly: &mut Assembly) {
         for change in assembly.read(self.part, records) {
             match change {
                 Change::Accepted(submission) => {
@@ -383,7 +383,7 @@
 }
 
 impl Assembly {
-    fn read(&mut self, part: u32, records: Vec<Stored>) -> Vec<Change> {
+    fn read(&mut self, part: u32, records: Vec<StoredRecord>) -> Vec<Change> {
         let mut changes = Vec::new();
         for stored in records {
             match BatchRecord::read(stored) {
--- a/crates/godwitspool-host/src/batch/progress.rs
+++ b/crates/godwitspool-host/src/batch/progress.rs
@@ -6,7 +6,7 @@
 use crate::{
     StoreBounds,
     process::Shared,
-    store::{Keyed, Store, Topic},
+    store::{Record, Store, Topic},
 };
 
 /// Time between two saves: a part of the time until a lost host's partitions are dealt to others,
@@ -34,7 +34,7 @@
 pub fn save_progress(
     store: &dyn Store,
     part: u32,
-    records: Vec<Keyed>,
+    records: Vec<Record>,
     bounds: &StoreBounds,
 ) -> bool {
     split_calls(records, bounds)
--- a/crates/godwitspool-host/src/batch/record.rs
+++ b/crates/godwitspool-host/src/batch/record.rs
@@ -8,7 +8,7 @@
 use super::{ItemResult, Progress, Submission};
 use crate::{
     StoreBounds,
-    store::{Keyed, Stored},
+    store::{Record, StoredRecord},
 };
 
 /// Room left in a record for its key and framing.
@@ -91,22 +91,22 @@
 
 impl BatchRecord {
     /// Returns the appends that store a submission, in their order: the last one makes it whole.
-    pub fn of_submission(submission: &Submission, bounds: &StoreBounds) -> Vec<Vec<Keyed>> {
+    pub fn of_submission(submission: &Submission, bounds: &StoreBounds) -> Vec<Vec<Record>> {
         let bytes = encode(submission);
         let size = bounds.record_bytes.saturating_sub(RECORD_OVERHEAD).max(1);
         let id = &submission.id;
         let chunks = bytes.chunks(size).enumerate();
-        let mut records: Vec<Keyed> = chunks
-            .map(|(index, chunk)| Keyed::new(format!("{id}/b{index:05}"), chunk))
+        let mut records: Vec<Record> = chunks
+            .map(|(index, chunk)| Record::new(format!("{id}/b{index:05}"), chunk))
             .collect();
         let parts = records.len() as u32;
-        records.push(Keyed::new(format!("{id}/c"), parts.to_be_bytes()));
+        records.push(Record::new(format!("{id}/c"), parts.to_be_bytes()));
         split_calls(records, bounds)
     }
 
     /// Returns the record that ends a batch.
-    pub fn of_end(batch: &str) -> Keyed {
-        Keyed::new(format!("{batch}/e"), [1])
+    pub fn of_end(batch: &str) -> Record {
+        Record::new(format!("{batch}/e"), [1])
     }
 
     /// Returns the records that remove a submission and its end, and those that remove its results.
@@ -114,17 +114,17 @@
         submission: &Submission,
         results: &[Arc<ItemResult>],
         bounds: &StoreBounds,
-    ) -> (Vec<Keyed>, Vec<Keyed>) {
+    ) -> (Vec<Record>, Vec<Record>) {
         let id = &submission.id;
         let stored = Self::of_submission(submission, bounds)
             .into_iter()
             .flatten();
-        let mut batch: Vec<Keyed> = stored.map(|record| Keyed::removed(record.key)).collect();
-        batch.push(Keyed::removed(Self::of_end(id).key));
+        let mut batch: Vec<Record> = stored.map(|record| Record::tombstone(record.key)).collect();
+        batch.push(Record::tombstone(Self::of_end(id).key));
         let listed = results.iter().enumerate();
         let listed = listed
             .flat_map(|(position, result)| Self::of_result(id, position as u64, result, bounds));
-        let results = listed.map(|record| Keyed::removed(record.key)).collect();
+        let results = listed.map(|record| Record::tombstone(record.key)).collect();
         (batch, results)
     }
 
@@ -134,18 +134,18 @@
         position: u64,
         result: &ItemResult,
         bounds: &StoreBounds,
-    ) -> Vec<Keyed> {
+    ) -> Vec<Record> {
         let bytes = encode(result);
         let size = bounds.record_bytes.saturating_sub(RECORD_OVERHEAD).max(1);
         if bytes.len() <= size {
-            return vec![Keyed::new(format!("{batch}/r{position:08}"), bytes)];
+            return vec![Record::new(format!("{batch}/r{position:08}"), bytes)];
         }
         let parts = bytes.len().div_ceil(size) as u32;
         let chunks = bytes.chunks(size).enumerate();
         chunks
             .map(|(index, chunk)| {
                 let value = [&parts.to_be_bytes()[..], chunk].concat();
-                Keyed::new(format!("{batch}/q{position:08}.{index:05}"), value)
+                Record::new(format!("{batch}/q{position:08}.{index:05}"), value)
             })
             .collect()
     }
@@ -156,10 +156,10 @@
         item: u32,
         progress: &Progress,
         bounds: &StoreBounds,
-    ) -> Option<Keyed> {
+    ) -> Option<Record> {
         let value = encode(progress);
         let fits = value.len() + RECORD_OVERHEAD <= bounds.record_bytes;
-        fits.then(|| Keyed::new(Self::progress_key(batch, item), value))
+        fits.then(|| Record::new(Self::progress_key(batch, item), value))
     }
 
     /// Returns the key of what an item has generated.
@@ -183,8 +183,8 @@
     /// # Errors
     ///
     /// When the key or the content is of another form.
-    pub fn read(stored: Stored) -> Result<Self, RecordError> {
-        let Keyed { key, value } = stored.record;
+    pub fn read(stored: StoredRecord) -> Result<Self, RecordError> {
+        let Record { key, value } = stored.record;
         let wrong = |reason: &str| RecordError {
             key: key.clone(),
             reason: reason.to_owned(),
@@ -242,8 +242,8 @@
 }
 
 /// Deals records to as many appends as the bound on one asks for.
-pub fn split_calls(records: Vec<Keyed>, bounds: &StoreBounds) -> Vec<Vec<Keyed>> {
-    let mut calls: Vec<Vec<Keyed>> = vec![Vec::new()];
+pub fn split_calls(records: Vec<Record>, bounds: &StoreBounds) -> Vec<Vec<Record>> {
+    let mut calls: Vec<Vec<Record>> = vec![Vec::new()];
     let mut used = 0;
     for record in records {
         let length = record.value.as_ref().map_or(0, Vec::len) + RECORD_OVERHEAD;
--- a/crates/godwitspool-host/src/process/calls.rs
+++ b/crates/godwitspool-host/src/process/calls.rs
@@ -207,7 +207,7 @@
     }
 
     /// Appends records of a batch. They never differ, so an append that is repeated does no harm.
-    fn store(&self, part: u32, calls: &[Vec<crate::store::Keyed>]) -> Result<(), StoreError> {
+    fn store(&self, part: u32, calls: &[Vec<crate::store::Record>]) -> Result<(), StoreError> {
         let due = self.due();
         let mut unknown = None;
         for records in calls {
--- a/crates/godwitspool-host/src/process/duties.rs
+++ b/crates/godwitspool-host/src/process/duties.rs
@@ -15,7 +15,7 @@
     dialect::{DutyError, Fence, LoadMode, LoadOrder, Ordered, WindowReport},
     duty::{LoadView, Loading, next_load, plan_loads},
     http::Exchange,
-    store::{Keyed, Store, StoreError, Topic, Writer, read_all},
+    store::{Record, Store, StoreError, Topic, Writer, read_all},
     version::Outcome,
 };
 
@@ -373,7 +373,7 @@
         let value = postcard::to_stdvec(&value).map_err(|error| StoreError::Unreadable {
             reason: error.to_string(),
         })?;
-        let record = Keyed::new(format!("w{:012}", report.window), value);
+        let record = Record::new(format!("w{:012}", report.window), value);
         let writer = Writer {
             epoch: term.epoch,
             seq: term.seq,
@@ -434,7 +434,7 @@
 
 /// Appends the counts of ended windows until the process ends; what is open is appended last.
 pub fn append_usage(shared: &Arc<Shared>) {
-    let mut unsent: Vec<Keyed> = Vec::new();
+    let mut unsent: Vec<Record> = Vec::new();
     let mut number = 0;
     loop {
         let draining = shared.is_draining();
@@ -445,7 +445,7 @@
             match postcard::to_stdvec(&(window, &counts)) {
                 Ok(value) => {
                     let key = format!("{window}/{}/{number}", shared.member);
-                    unsent.push(Keyed::new(key, value));
+                    unsent.push(Record::new(key, value));
                 }
                 Err(error) => log::error!(error:%, window; "counts can't be encoded"),
             }
--- a/crates/godwitspool-host/src/process/relay.rs
+++ b/crates/godwitspool-host/src/process/relay.rs
@@ -14,7 +14,9 @@
 use super::peers::address;
 use crate::{
     http::{CallError, Exchange, Pool, Request, Response},
-    store::{Assignment, Holding, Keyed, Page, READ_SLACK, Store, StoreError, Tail, Topic, Writer},
+    store::{
+        Assignment, Holding, Page, READ_SLACK, Record, Store, StoreError, Tail, Topic, Writer,
+    },
 };
 
 /// Path under which a host makes calls to the store for another.
@@ -32,7 +34,7 @@
 /// A call to the store on another host's behalf.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 enum StoreCall {
-    Append(Topic, u32, Vec<Keyed>, Option<Writer>),
+    Append(Topic, u32, Vec<Record>, Option<Writer>),
     Holdings,
     Join(String, u64, Duration),
     Leave(String),
@@ -321,7 +323,7 @@
         &self,
         topic: Topic,
         part: u32,
-        records: &[Keyed],
+        records: &[Record],
         writer: Option<Writer>,
     ) -> Result<(), StoreError> {
         self.call(&StoreCall::Append(topic, part, records.to_vec(), writer))
--- a/crates/godwitspool-host/src/store.rs
+++ b/crates/godwitspool-host/src/store.rs
@@ -27,19 +27,19 @@
 
 impl Topic {
     /// Topics whose partitions are dealt to the hosts, each to one.
-    pub const DEALT: [Self; 2] = [Self::Duty, Self::Results];
+    pub const ASSIGNED: [Self; 2] = [Self::Duty, Self::Results];
 }
 
 /// A record with its key; one without a value removes the key.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Keyed {
+pub struct Record {
     /// Key.
     pub key: String,
     /// Content.
     pub value: Option<Vec<u8>>,
 }
 
-impl Keyed {
+impl Record {
     /// Creates a record.
     pub fn new(key: impl Into<String>, value: impl Into<Vec<u8>>) -> Self {
         Self {
@@ -49,7 +49,7 @@
     }
 
     /// Creates a record that removes a key.
-    pub fn removed(key: impl Into<String>) -> Self {
+    pub fn tombstone(key: impl Into<String>) -> Self {
         Self {
             key: key.into(),
             value: None,
@@ -59,11 +59,11 @@
 
 /// A record where it lies in its partition.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Stored {
+pub struct StoredRecord {
     /// Offset.
     pub offset: u64,
     /// The record.
-    pub record: Keyed,
+    pub record: Record,
 }
 
 /// Makes appends to a partition repeatable and shuts out earlier writers.
@@ -116,7 +116,7 @@
     /// Offset behind the last record of the answer.
     pub next: u64,
     /// The records; unreadable ones are left out.
-    pub records: Vec<Stored>,
+    pub records: Vec<StoredRecord>,
 }
 
 /// Newest records of keys, in the order of their keys.
@@ -127,7 +127,7 @@
     /// Whether more keys follow.
     pub more: bool,
     /// The records.
-    pub records: Vec<Stored>,
+    pub records: Vec<StoredRecord>,
 }
 
 /// Partitions that a member of the hosts' group holds.
@@ -161,7 +161,7 @@
         &self,
         topic: Topic,
         part: u32,
-        records: &[Keyed],
+        records: &[Record],
         writer: Option<Writer>,
     ) -> Result<(), StoreError>;
 
@@ -212,8 +212,8 @@
     part: u32,
     after: Option<&str>,
     wanted: impl Fn(&str) -> bool,
-) -> Result<(Vec<Stored>, u64), StoreError> {
-    let mut records: Vec<Stored> = Vec::new();
+) -> Result<(Vec<StoredRecord>, u64), StoreError> {
+    let mut records: Vec<StoredRecord> = Vec::new();
     let mut after = after.map(str::to_owned);
     let mut end = None;
     loop {
--- a/crates/godwitspool-host/src/version/mirror.rs
+++ b/crates/godwitspool-host/src/version/mirror.rs
@@ -2,7 +2,7 @@
 
 use godwitspool_types::Millis;
 
-use crate::store::{Keyed, Store, StoreError, Stored, Tail, Topic, read_all};
+use crate::store::{Record, Store, StoreError, StoredRecord, Tail, Topic, read_all};
 
 /// A copy of a keyed partition, kept current by reading its tail. Only moves forward.
 #[derive(Debug, Default)]
@@ -33,14 +33,14 @@
     }
 
     /// Takes over records and returns those that are newer than what was known.
-    pub fn apply(&mut self, records: impl IntoIterator<Item = Stored>) -> Vec<MirrorChange> {
+    pub fn apply(&mut self, records: impl IntoIterator<Item = StoredRecord>) -> Vec<MirrorChange> {
         let mut changes = Vec::new();
-        for Stored { offset, record } in records {
+        for StoredRecord { offset, record } in records {
             let known = self.records.get(&record.key);
             if known.is_some_and(|(known, _)| *known >= offset) {
                 continue;
             }
-            let Keyed { key, value } = record;
+            let Record { key, value } = record;
             self.records.insert(key.clone(), (offset, value.clone()));
             changes.push(MirrorChange { offset, key, value });
         }
@@ -48,21 +48,21 @@
     }
 
     /// Takes over all keys of the partition: keys that are known and not among them are gone.
-    pub fn replace(&mut self, records: Vec<Stored>, end: u64) -> Vec<MirrorChange> {
+    pub fn replace(&mut self, records: Vec<StoredRecord>, end: u64) -> Vec<MirrorChange> {
         let held: Vec<&str> = records
             .iter()
             .map(|stored| stored.record.key.as_str())
             .collect();
-        let gone: Vec<Stored> = self
+        let gone: Vec<StoredRecord> = self
             .records
             .iter()
             .filter(|(key, (offset, value))| {
                 value.is_some() && *offset < end && !held.contains(&key.as_str())
             })
-            .map(|(key, (offset, _))| Stored {
+            .map(|(key, (offset, _))| StoredRecord {
                 // Just behind the record that was known, so that a later record counts again.
                 offset: offset + 1,
-                record: Keyed::removed(key.clone()),
+                record: Record::tombstone(key.clone()),
             })
             .collect();
         self.next = Some(end);
@@ -115,7 +115,7 @@
     /// All keys.
     All {
         /// Newest record of each key.
-        records: Vec<Stored>,
+        records: Vec<StoredRecord>,
         /// Offset from which the tail goes on.
         end: u64,
     },
--- a/crates/godwitspool-host/tests/batches.rs
+++ b/crates/godwitspool-host/tests/batches.rs
@@ -16,7 +16,7 @@
         Pace, Progress, RunFailure, RunView, Submission, Verdict, decide_move, order_items,
         partition_of,
     },
-    store::{Keyed, Stored},
+    store::{Record, StoredRecord},
 };
 use godwitspool_types::Millis;
 use rstest::rstest;
@@ -194,7 +194,7 @@
         assert!(record.value.as_ref().unwrap().len() <= record_bytes);
         assert!(whole.is_none(), "the closing record comes last");
         let offset = offset as u64;
-        match BatchRecord::read(Stored { offset, record }).unwrap() {
+        match BatchRecord::read(StoredRecord { offset, record }).unwrap() {
             BatchRecord::Part { bytes: part, .. } => bytes.extend(part),
             BatchRecord::Whole { parts, .. } => whole = Some(parts),
             other => panic!("{other:?}"),
@@ -343,7 +343,7 @@
     let offset = 0;
     let read: Vec<BatchRecord> = records
         .into_iter()
-        .map(|record| BatchRecord::read(Stored { offset, record }).unwrap())
+        .map(|record| BatchRecord::read(StoredRecord { offset, record }).unwrap())
         .collect();
     let [
         BatchRecord::Progress {
@@ -383,10 +383,10 @@
 }
 
 /// Numbers records as the store does.
-fn stored(records: impl IntoIterator<Item = Keyed>) -> Vec<Stored> {
+fn stored(records: impl IntoIterator<Item = Record>) -> Vec<StoredRecord> {
     let records = records.into_iter().enumerate();
     records
-        .map(|(offset, record)| Stored {
+        .map(|(offset, record)| StoredRecord {
             offset: offset as u64,
             record,
         })
@@ -400,7 +400,7 @@
         ..StoreBounds::default()
     };
     let results = [result(4, 100), result(2, 5_000), result(0, 744)];
-    let mut records: Vec<Keyed> = Vec::new();
+    let mut records: Vec<Record> = Vec::new();
     for (position, result) in results.iter().enumerate() {
         records.extend(BatchRecord::of_result(
             "b",
--- a/crates/godwitspool-host/tests/mirror.rs
+++ b/crates/godwitspool-host/tests/mirror.rs
@@ -1,17 +1,17 @@
 //! Copies of the store's keyed partitions.
 
 use godwitspool_host::{
-    store::{Keyed, Stored, Tail},
+    store::{Record, StoredRecord, Tail},
     version::{Fetched, Mirror},
 };
 use godwitspool_types::Millis;
 
-fn stored(offset: u64, key: &str, value: Option<&str>) -> Stored {
+fn stored(offset: u64, key: &str, value: Option<&str>) -> StoredRecord {
     let record = match value {
-        Some(value) => Keyed::new(key, value),
-        None => Keyed::removed(key),
+        Some(value) => Record::new(key, value),
+        None => Record::tombstone(key),
     };
-    Stored { offset, record }
+    StoredRecord { offset, record }
 }
 
 fn keys(changes: &[godwitspool_host::version::MirrorChange]) -> Vec<(&str, bool)> {
