--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -4,7 +4,7 @@
 
 use super::{Batch, Move, Pace, RunFailure, RunView, Submission, Verdict, decide_move};
 use crate::{
-    dialect::Passing,
+    dialect::ForwardContext,
     http::{CallError, Connection, Exchange, Progress, wait},
     process::Shared,
     version::{Configuration, Outcome},
@@ -184,14 +184,14 @@
         let dealt = fleet.deal(service, models.unwrap_or_default());
         let place = fleet.place(service, &model, submission.min_version, &dealt, None, now)?;
         let (name, address) = (place.target, place.address);
-        let passing = Passing {
+        let context = ForwardContext {
             target: &name,
             workspace: Some(&submission.workspace),
-            left: None,
+            remaining: None,
             resume_after: progress.last_event,
             version: only.or(place.expected),
         };
-        let request = shared.dialect.item(&submission, spec, &passing);
+        let request = shared.dialect.item_request(&submission, spec, &context);
         let connection = match shared.pool.connect(address) {
             Ok(connection) => connection,
             Err(error) => {
--- a/crates/godwitspool-host/src/dialect.rs
+++ b/crates/godwitspool-host/src/dialect.rs
@@ -63,13 +63,13 @@
 
 /// What a target is told beside the caller's own request.
 #[derive(Clone, Copy, Debug)]
-pub struct Passing<'a> {
+pub struct ForwardContext<'a> {
     /// The target that is meant: another at the same address refuses.
     pub target: &'a TargetName,
     /// Whose request it is.
     pub workspace: Option<&'a Workspace>,
     /// Time left for the answer.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
     /// Number of the last event already received: the stream goes on behind it.
     pub resume_after: Option<u64>,
     /// The only version of the model that may serve.
@@ -158,16 +158,21 @@
 
     /// Returns the request for a target: the caller's, without its key and with what the target is
     /// told.
-    fn pass(&self, request: &Request, passing: &Passing<'_>) -> Request;
+    fn forward_request(&self, request: &Request, context: &ForwardContext<'_>) -> Request;
 
     /// Returns the request of a batch's item for a target.
-    fn item(&self, batch: &Submission, item: &ItemSpec, passing: &Passing<'_>) -> Request;
+    fn item_request(
+        &self,
+        batch: &Submission,
+        item: &ItemSpec,
+        context: &ForwardContext<'_>,
+    ) -> Request;
 
     /// Reads what a target's answer says.
     fn reply(&self, response: &Response) -> Reply;
 
     /// Returns a refusal that promises that the request has not run and won't.
-    fn refusal(&self, again: Duration) -> Response;
+    fn refusal(&self, retry_after: Duration) -> Response;
 
     /// Reads a submission of a batch.
     ///
--- a/crates/godwitspool-host/src/request/forward.rs
+++ b/crates/godwitspool-host/src/request/forward.rs
@@ -7,7 +7,7 @@
 use godwitspool_types::{Millis, ServiceName, TargetName, Workspace};
 
 use crate::{
-    dialect::{Call, Passing, Reply},
+    dialect::{Call, ForwardContext, Reply},
     http::{Caller, Exchange, Progress, Request, Response, wait},
     process::{Shared, unix_ms},
     version::{Outcome, Route, RouteKind},
@@ -222,14 +222,14 @@
             self.tried.push(target.clone());
             fleet.start(&target);
             drop(fleet);
-            let passing = Passing {
+            let context = ForwardContext {
                 target: &target,
                 workspace: self.workspace,
-                left: Some(self.due.saturating_duration_since(Instant::now())),
+                remaining: Some(self.due.saturating_duration_since(Instant::now())),
                 resume_after: None,
                 version: None,
             };
-            let request = self.shared.dialect.pass(self.request, &passing);
+            let request = self.shared.dialect.forward_request(self.request, &context);
             match self.shared.pool.connect(address) {
                 Ok(connection) => {
                     let mut exchange = Exchange::new(connection, &request);
