--- a/crates/godwitspool-host/src/batch/mod.rs
+++ b/crates/godwitspool-host/src/batch/mod.rs
@@ -4,25 +4,25 @@
 //! One host at a time owns the partition of its results: it runs the items and appends each result
 //! under its epoch before the result is shown.
 
-mod book;
-mod listed;
 mod order;
 mod owner;
 mod pace;
 mod progress;
 mod record;
+mod registry;
 mod runner;
 mod state;
+mod stored_results;
 
-pub use book::{Book, Lookup, Part, page};
-pub use listed::Listed;
 pub use order::{order_items, predicted_tokens};
 pub use owner::{Owner, StoredBatch, read_stored};
 pub use pace::{Move, Pace, RunView, decide_move, usual_pace};
 pub use progress::{save_progress, save_running};
 pub use record::{BatchRecord, partition_of};
+pub use registry::{BatchRegistry, Lookup, Part, page};
 pub use runner::Runner;
 pub use state::{Batch, Finished, Item, ItemState, Progress, RunFailure, Verdict};
+pub use stored_results::StoredResults;
 
 use std::collections::HashMap;
 
--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -11,7 +11,8 @@
 };
 
 use super::{
-    Batch, BatchRecord, Book, Finished, ItemResult, Submission, listed::Listed, save_progress,
+    Batch, BatchRecord, BatchRegistry, Finished, ItemResult, Submission, save_progress,
+    stored_results::StoredResults,
 };
 use crate::{
     StoreBounds,
@@ -48,7 +49,7 @@
 }
 
 struct Task {
-    book: Arc<Book>,
+    registry: Arc<BatchRegistry>,
     bounds: StoreBounds,
     epoch: u64,
     part: u32,
@@ -78,14 +79,14 @@
     /// When no thread can be started.
     pub fn start(
         store: Arc<dyn Store>,
-        book: Arc<Book>,
+        registry: Arc<BatchRegistry>,
         bounds: StoreBounds,
         ttl: Duration,
         place: (u32, u64),
     ) -> io::Result<Self> {
         let (part, epoch) = place;
         let task = Arc::new(Task {
-            book,
+            registry,
             bounds,
             epoch,
             part,
@@ -117,19 +118,21 @@
 
 impl Task {
     fn is_stopped(&self) -> bool {
-        self.stopped.load(Ordering::SeqCst) || self.book.is_yielded(self.part, self.epoch)
+        self.stopped.load(Ordering::SeqCst) || self.registry.is_superseded(self.part, self.epoch)
     }
 
     fn stop(&self, reason: &str) {
         if !self.stopped.swap(true, Ordering::SeqCst) {
             log::info!(partition = self.part, epoch = self.epoch, reason; "partition closed");
         }
-        self.book.close(self.part, self.epoch);
+        self.registry.close(self.part, self.epoch);
     }
 
     fn hand_over(&self) {
         let began = Instant::now();
-        let progress = self.book.take_unsaved(self.part, self.epoch, &self.bounds);
+        let progress = self
+            .registry
+            .take_unsaved(self.part, self.epoch, &self.bounds);
         let items = progress.len();
         let saved = save_progress(self.store.as_ref(), self.part, progress, &self.bounds);
         while self.writing.load(Ordering::SeqCst) && began.elapsed() < HAND_OVER_TIMEOUT {
@@ -203,9 +206,9 @@
 
     /// Opens the partition unless it was given up meanwhile.
     fn open(&self, batches: Vec<Batch>, sender: Sender<Finished>) {
-        self.book.open(self.part, self.epoch, batches, sender);
+        self.registry.open(self.part, self.epoch, batches, sender);
         if self.is_stopped() {
-            self.book.close(self.part, self.epoch);
+            self.registry.close(self.part, self.epoch);
         }
     }
 
@@ -248,7 +251,7 @@
         records: Vec<StoredRecord>,
         assembly: &mut Assembly,
     ) -> (Vec<Batch>, HashMap<String, u64>) {
-        let mut listed = Listed::read(self.part, results);
+        let mut listed = StoredResults::read(self.part, results);
         let mut positions = HashMap::new();
         let mut batches = BTreeMap::new();
         for change in assembly.read(self.part, records) {
@@ -280,16 +283,16 @@
                 Change::Accepted(submission) => {
                     let (batch, items) = (submission.id.clone(), submission.items.len());
                     let (step, model) = (submission.step, submission.model.clone());
-                    if self.book.accept(self.part, Arc::new(submission)) {
+                    if self.registry.accept(self.part, Arc::new(submission)) {
                         log::info!(batch:%, items, step, model:%, partition = self.part; "batch taken over");
                     }
                 }
                 Change::Ended(batch) => {
-                    if self.book.end(self.part, &batch) {
+                    if self.registry.end(self.part, &batch) {
                         log::info!(batch:%, partition = self.part; "batch ended");
                     }
                 }
-                Change::Removed(batch) => self.book.forget(self.part, &batch),
+                Change::Removed(batch) => self.registry.forget(self.part, &batch),
             }
         }
     }
@@ -297,7 +300,7 @@
     /// Removes the records of batches whose time is over.
     fn expire(&self, seq: &mut u64) -> Option<()> {
         let ttl = self.ttl + TTL_MARGIN;
-        for (submission, results) in self.book.expired(self.part, unix_ms(), ttl) {
+        for (submission, results) in self.registry.expired(self.part, unix_ms(), ttl) {
             let (batch, results) = BatchRecord::of_removal(&submission, &results, &self.bounds);
             let writer = Writer {
                 epoch: self.epoch,
@@ -312,7 +315,7 @@
             let append = || self.store.append(Topic::Batches, self.part, &batch, None);
             self.persist("remove batch", append)?;
             log::info!(batch:% = submission.id, partition = self.part; "batch removed, its time is over");
-            self.book.forget(self.part, &submission.id);
+            self.registry.forget(self.part, &submission.id);
         }
         Some(())
     }
@@ -365,7 +368,7 @@
                 return;
             }
             seq += 1;
-            self.book.list(self.part, self.epoch, &group);
+            self.registry.list(self.part, self.epoch, &group);
         }
     }
 }
@@ -448,6 +451,6 @@
         return Ok(None);
     };
     let (records, _) = read_all(store, Topic::Results, part, Some(&before), belongs)?;
-    let results = Listed::read(part, records).take_results(batch);
+    let results = StoredResults::read(part, records).take_results(batch);
     Ok(Some((Arc::new(submission), results)))
 }
--- a/crates/godwitspool-host/src/batch/book.rs
+++ b/crates/godwitspool-host/src/batch/registry.rs
@@ -17,7 +17,7 @@
 
 /// The batches of the partitions that this host owns.
 #[derive(Debug)]
-pub struct Book {
+pub struct BatchRegistry {
     parts: Mutex<BTreeMap<u32, Part>>,
     changed: Condvar,
     count: u32,
@@ -89,10 +89,10 @@
     /// This host owns its partition and knows no such batch of the workspace.
     Missing,
     /// Another host owns its partition, or none.
-    Elsewhere,
+    NotOwned,
 }
 
-impl Book {
+impl BatchRegistry {
     /// Creates an empty book for so many partitions.
     ///
     /// # Errors
@@ -149,7 +149,7 @@
 
     /// Records that another host owns a partition under an epoch. A lower epoch of this host ends at
     /// once with its runs: the other host goes on with the items.
-    pub fn yield_to(&self, part: u32, epoch: u64) {
+    pub fn observe_epoch(&self, part: u32, epoch: u64) {
         let mut epochs = self.epochs.lock().unwrap_or_else(PoisonError::into_inner);
         let known = epochs.entry(part).or_default();
         *known = epoch.max(*known);
@@ -164,7 +164,7 @@
     }
 
     /// Tells whether another host is known to own a partition under a higher epoch.
-    pub fn is_yielded(&self, part: u32, epoch: u64) -> bool {
+    pub fn is_superseded(&self, part: u32, epoch: u64) -> bool {
         let epochs = self.epochs.lock().unwrap_or_else(PoisonError::into_inner);
         epochs.get(&part).is_some_and(|known| *known > epoch)
     }
@@ -271,7 +271,7 @@
         let mut parts = self.lock();
         loop {
             let Some(part) = parts.get(&partition_of(id, self.count)) else {
-                return Lookup::Elsewhere;
+                return Lookup::NotOwned;
             };
             let Some(batch) = find(part, id, workspace) else {
                 return Lookup::Missing;
@@ -290,7 +290,7 @@
     pub fn body(&self, id: &str, workspace: Option<&Workspace>, item: &str) -> Lookup<Vec<u8>> {
         let parts = self.lock();
         let Some(part) = parts.get(&partition_of(id, self.count)) else {
-            return Lookup::Elsewhere;
+            return Lookup::NotOwned;
         };
         let Some(batch) = find(part, id, workspace) else {
             return Lookup::Missing;
--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -100,10 +100,10 @@
     }
 
     fn wait(&self, timeout: Option<Duration>) -> io::Result<()> {
-        let mut sockets = vec![self.shared.book.waker.socket()];
+        let mut sockets = vec![self.shared.registry.waker.socket()];
         sockets.extend(self.runs.iter().map(|run| run.exchange.socket()));
         wait(&sockets, timeout)?;
-        self.shared.book.waker.clear();
+        self.shared.registry.waker.clear();
         Ok(())
     }
 
@@ -115,7 +115,7 @@
         let mut waiting = false;
         let now = self.shared.clock.now();
         let mut started = Vec::new();
-        let mut parts = self.shared.book.lock();
+        let mut parts = self.shared.registry.lock();
         for (number, part) in &mut *parts {
             let mut dropped = Vec::new();
             for batch in part.batches.values_mut().filter(|batch| batch.is_open()) {
@@ -231,7 +231,7 @@
     fn advance(&mut self) {
         let now = self.shared.clock.now();
         let shared = Arc::clone(&self.shared);
-        let mut parts = shared.book.lock();
+        let mut parts = shared.registry.lock();
         let look = now - self.looked >= LOOK;
         if look {
             self.looked = now;
--- a/crates/godwitspool-host/src/batch/listed.rs
+++ b/crates/godwitspool-host/src/batch/stored_results.rs
@@ -8,13 +8,13 @@
 
 /// Results and progress of batches, put together from a partition's records.
 #[derive(Debug, Default)]
-pub struct Listed {
+pub struct StoredResults {
     progress: HashMap<String, Vec<(u32, Progress)>>,
     results: HashMap<String, BTreeMap<u64, Arc<ItemResult>>>,
     parts: HashMap<(String, u64), BTreeMap<u32, Vec<u8>>>,
 }
 
-impl Listed {
+impl StoredResults {
     /// Puts records together; unreadable ones are left out.
     pub fn read(part: u32, records: Vec<StoredRecord>) -> Self {
         let mut listed = Self::default();
--- a/crates/godwitspool-host/src/process/calls.rs
+++ b/crates/godwitspool-host/src/process/calls.rs
@@ -237,7 +237,7 @@
         let shared = self.shared;
         let wait = self.call.wait.unwrap_or_default();
         let found = shared
-            .book
+            .registry
             .read(batch, self.workspace.as_ref(), after, wait);
         let lookup = match found {
             Lookup::Found(page) => return shared.dialect.results(&page),
@@ -258,7 +258,10 @@
     }
 
     fn body(&self, batch: &str, item: &str) -> Response {
-        let found = self.shared.book.body(batch, self.workspace.as_ref(), item);
+        let found = self
+            .shared
+            .registry
+            .body(batch, self.workspace.as_ref(), item);
         let lookup = match found {
             Lookup::Found(body) => return Response::new(200, body),
             other => other,
@@ -277,7 +280,7 @@
 
     /// Passes the call on to the owner of the batch's partition; `None` if it doesn't know.
     fn ask_owner<T>(&self, batch: &str, lookup: &Lookup<T>, wait: Duration) -> Option<Response> {
-        if self.origin == Origin::Host || !matches!(lookup, Lookup::Elsewhere) {
+        if self.origin == Origin::Host || !matches!(lookup, Lookup::NotOwned) {
             return None;
         }
         let shared = self.shared;
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -103,7 +103,7 @@
             sender,
             number: sent.number,
             running: running.into_iter().collect(),
-            owned: shared.book.owned(),
+            owned: shared.registry.owned(),
             named: shared.named().into_iter().collect(),
         };
         report.running.sort();
@@ -151,7 +151,7 @@
             match postcard::from_bytes::<Notice>(&bytes[..length]) {
                 Ok(Notice::Runs(report)) => {
                     for (part, epoch) in &report.owned {
-                        shared.book.yield_to(*part, *epoch);
+                        shared.registry.observe_epoch(*part, *epoch);
                     }
                     for (model, version) in &report.named {
                         shared.hear_version(model, *version, "another host");
--- a/crates/godwitspool-host/src/process/shared.rs
+++ b/crates/godwitspool-host/src/process/shared.rs
@@ -15,7 +15,7 @@
 use super::{Relay, UsageBook, peers::Peers, relay::RelayMetrics, reports::Reports};
 use crate::{
     Settings,
-    batch::Book,
+    batch::BatchRegistry,
     dialect::{Dialect, Duties},
     http::Pool,
     store::Store,
@@ -55,7 +55,7 @@
     /// Idle connections to targets and hosts.
     pub pool: Arc<Pool>,
     /// Batches of the owned partitions.
-    pub book: Arc<Book>,
+    pub registry: Arc<BatchRegistry>,
     /// Requests counted for usage.
     pub usage: UsageBook,
     /// Other hosts.
@@ -129,7 +129,7 @@
         let incarnation = rand::random::<u32>();
         let member = format!("{}#{incarnation:08x}", settings.peer);
         Ok(Self {
-            book: Arc::new(Book::new(settings.store.parts)?),
+            registry: Arc::new(BatchRegistry::new(settings.store.parts)?),
             clock: Clock::start(),
             configuration: RwLock::default(),
             dialect: edges.dialect,
@@ -225,7 +225,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner) += 1;
         self.news.notify_all();
-        self.book.waker.wake();
+        self.registry.waker.wake();
     }
 
     /// Waits for news, up to a time.
--- a/crates/godwitspool-host/tests/batches.rs
+++ b/crates/godwitspool-host/tests/batches.rs
@@ -12,9 +12,9 @@
 use godwitspool_host::{
     StoreBounds,
     batch::{
-        Batch, BatchRecord, Book, Finished, ItemResult, ItemSpec, ItemState, Listed, Lookup, Move,
-        Pace, Progress, RunFailure, RunView, Submission, Verdict, decide_move, order_items,
-        partition_of,
+        Batch, BatchRecord, BatchRegistry, Finished, ItemResult, ItemSpec, ItemState, Lookup, Move,
+        Pace, Progress, RunFailure, RunView, StoredResults, Submission, Verdict, decide_move,
+        order_items, partition_of,
     },
     store::{Record, StoredRecord},
 };
@@ -207,10 +207,10 @@
 
 #[test]
 fn results_are_shown_only_once_they_are_listed_and_under_the_owners_epoch() {
-    let book = Book::new(4).unwrap();
+    let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
     let (sender, _receiver) = mpsc::channel();
-    book.open(part, 7, vec![batch(2, 1)], sender);
+    registry.open(part, 7, vec![batch(2, 1)], sender);
     let finished = Finished {
         batch: "b".to_owned(),
         result: ItemResult {
@@ -220,22 +220,25 @@
             versions: vec![1],
         },
     };
-    let read = || match book.read("b", None, 0, Duration::ZERO) {
+    let read = || match registry.read("b", None, 0, Duration::ZERO) {
         Lookup::Found(page) => page.results.len(),
         other => panic!("{other:?}"),
     };
-    book.list(part, 6, std::slice::from_ref(&finished));
+    registry.list(part, 6, std::slice::from_ref(&finished));
     assert_eq!(read(), 0, "an earlier owner's results aren't taken over");
-    book.list(part, 7, std::slice::from_ref(&finished));
+    registry.list(part, 7, std::slice::from_ref(&finished));
     assert_eq!(read(), 1);
-    book.close(part, 6);
+    registry.close(part, 6);
     assert_eq!(
         read(),
         1,
         "a late close of an earlier owner changes nothing"
     );
-    book.close(part, 7);
-    assert_eq!(book.read("b", None, 0, Duration::ZERO), Lookup::Elsewhere);
+    registry.close(part, 7);
+    assert_eq!(
+        registry.read("b", None, 0, Duration::ZERO),
+        Lookup::NotOwned
+    );
 }
 
 /// Load pattern: an item crashes each target that begins to run it, so each run breaks before its
@@ -283,32 +286,32 @@
 
 #[test]
 fn an_earlier_owner_yields_to_a_higher_epoch_and_to_no_lower_one() {
-    let book = Book::new(4).unwrap();
+    let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
     let (sender, _receiver) = mpsc::channel();
-    book.open(part, 7, vec![batch(2, 1)], sender);
-    book.yield_to(part, 6);
-    assert_eq!(book.owned(), [(part, 7)]);
-    book.yield_to(part, 8);
-    assert_eq!(book.owned(), []);
-    assert!(book.is_yielded(part, 7));
-    assert!(!book.is_yielded(part, 9));
+    registry.open(part, 7, vec![batch(2, 1)], sender);
+    registry.observe_epoch(part, 6);
+    assert_eq!(registry.owned(), [(part, 7)]);
+    registry.observe_epoch(part, 8);
+    assert_eq!(registry.owned(), []);
+    assert!(registry.is_superseded(part, 7));
+    assert!(!registry.is_superseded(part, 9));
 }
 
 #[test]
 fn only_news_of_running_items_is_saved_and_removed_with_its_batch() {
     let bounds = StoreBounds::default();
-    let book = Book::new(4).unwrap();
+    let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
     let (sender, _receiver) = mpsc::channel();
-    book.open(part, 7, vec![batch(2, 1)], sender);
+    registry.open(part, 7, vec![batch(2, 1)], sender);
     let advance = |events| {
-        let mut parts = book.lock();
+        let mut parts = registry.lock();
         let batch = parts.get_mut(&part).unwrap().batches.get_mut("b").unwrap();
         batch.items[0].progress = progress(events);
     };
     let keys = || {
-        let unsaved = book.unsaved(20, &bounds);
+        let unsaved = registry.unsaved(20, &bounds);
         let records = unsaved.into_iter().flat_map(|(_, records)| records);
         records
             .map(|record| (record.key, record.value.is_some()))
@@ -320,7 +323,7 @@
     assert_eq!(keys(), [("b/p00000000".to_owned(), true)]);
     advance(35);
     assert_eq!(keys(), [], "saved not long ago");
-    book.end(part, "b");
+    registry.end(part, "b");
     assert_eq!(keys(), [("b/p00000000".to_owned(), false)]);
     assert_eq!(keys(), [], "removed once");
 }
@@ -328,14 +331,14 @@
 #[test]
 fn a_partition_that_is_given_up_leaves_everything_that_was_generated() {
     let bounds = StoreBounds::default();
-    let book = Book::new(4).unwrap();
+    let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
     let (sender, receiver) = mpsc::channel();
     let mut given = batch(2, 1);
     given.items[1].progress = progress(3);
-    book.open(part, 7, vec![given], sender);
-    let records = book.take_unsaved(part, 7, &bounds);
-    assert_eq!(book.owned(), []);
+    registry.open(part, 7, vec![given], sender);
+    let records = registry.take_unsaved(part, 7, &bounds);
+    assert_eq!(registry.owned(), []);
     assert!(
         receiver.recv().is_err(),
         "the writer ends once it is through"
@@ -414,7 +417,7 @@
         assert!(record.value.as_ref().unwrap().len() <= bounds.record_bytes);
     }
     let keys: Vec<String> = records.iter().map(|record| record.key.clone()).collect();
-    let read = Listed::read(0, stored(records)).take_results("b");
+    let read = StoredResults::read(0, stored(records)).take_results("b");
     let read: Vec<&ItemResult> = read.iter().map(Arc::as_ref).collect();
     assert_eq!(read, results.iter().collect::<Vec<_>>());
 
@@ -440,7 +443,7 @@
     large.pop();
     records.extend(large);
     records.extend(BatchRecord::of_result("b", 2, &result(1, 10), &bounds));
-    let read = Listed::read(0, stored(records)).take_results("b");
+    let read = StoredResults::read(0, stored(records)).take_results("b");
     let items: Vec<u32> = read.iter().map(|result| result.item).collect();
     assert_eq!(items, [7]);
 }
