--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -181,8 +181,15 @@
             .map(|service| &service.models[..]);
         let model = submission.model.clone();
         let mut fleet = shared.fleet();
-        let dealt = fleet.deal(service, models.unwrap_or_default());
-        let place = fleet.place(service, &model, submission.min_version, &dealt, None, now)?;
+        let assigned = fleet.assign_models(service, models.unwrap_or_default());
+        let place = fleet.place(
+            service,
+            &model,
+            submission.min_version,
+            &assigned,
+            None,
+            now,
+        )?;
         let (name, address) = (place.target, place.address);
         let context = ForwardContext {
             target: &name,
@@ -282,7 +289,9 @@
             if head.status == 200
                 && let Some(version) = reply.version
             {
-                shared.fleet().learn(&self.target, &self.model, version);
+                shared
+                    .fleet()
+                    .observe_version(&self.target, &self.model, version);
                 batch.items[self.item].progress.version = Some(version);
             }
         }
@@ -296,7 +305,7 @@
                         let since_last = now - self.heard;
                         if self.pace.events > 0 && events > 0 {
                             let between_ms = since_last.0 as f64 / f64::from(events);
-                            shared.fleet().pace(&self.target, between_ms, now);
+                            shared.fleet().record_pace(&self.target, between_ms, now);
                         }
                         self.pace.push(events, since_last);
                     }
@@ -361,13 +370,13 @@
         };
         let reason = decide_move(&view)?;
         let min_version = self.submission.min_version;
-        let dealt = HashMap::new();
+        let assigned = HashMap::new();
         let besides = Some(&self.target);
         let other = fleet.place(
             &self.service,
             &self.model,
             min_version,
-            &dealt,
+            &assigned,
             besides,
             now,
         )?;
@@ -386,7 +395,9 @@
             let event = shared.dialect.event(&lines[..end]);
             if let Some(version) = event.version {
                 progress.version = Some(version);
-                shared.fleet().learn(&self.target, &self.model, version);
+                shared
+                    .fleet()
+                    .observe_version(&self.target, &self.model, version);
             }
             let Some(number) = event.number else {
                 continue;
--- a/crates/godwitspool-host/src/duty/loads.rs
+++ b/crates/godwitspool-host/src/duty/loads.rs
@@ -34,9 +34,9 @@
     /// Usable targets of one service.
     pub targets: Vec<&'a Target>,
     /// Which model each target follows.
-    pub dealt: &'a HashMap<TargetName, ModelName>,
+    pub assigned: &'a HashMap<TargetName, ModelName>,
     /// Newest version of each model.
-    pub named: &'a HashMap<ModelName, u64>,
+    pub newest_versions: &'a HashMap<ModelName, u64>,
     /// Loads that were ordered.
     pub loading: &'a HashMap<TargetName, Loading>,
     /// What happens to running requests.
@@ -86,13 +86,13 @@
     if room == 0 {
         return Vec::new();
     }
-    let mut models: Vec<&ModelName> = view.named.keys().collect();
+    let mut models: Vec<&ModelName> = view.newest_versions.keys().collect();
     models.sort();
     let reached = |target: &&&Target| target.failures < FAILURES_MAX;
     let share = view.targets.iter().filter(reached).count() / models.len().max(1);
     let mut wanted: Vec<(Need, u64, &TargetName, &ModelName)> = Vec::new();
     for model in models {
-        let newest = view.named[model];
+        let newest = view.newest_versions[model];
         let versions: Vec<(&Target, u64)> = view
             .targets
             .iter()
@@ -102,13 +102,13 @@
         let at_least = |least: u64| versions.iter().filter(|(_, at)| *at >= least).count();
         let (valid, fresh) = (at_least(newest.saturating_sub(1)), at_least(newest));
         let half = share.div_ceil(2).max(1);
-        let own = |target: &Target| view.dealt.get(&target.entry.name) == Some(model);
+        let own = |target: &Target| view.assigned.get(&target.entry.name) == Some(model);
         // The most outdated first; those that run least lose least.
         let mut behind: Vec<&(&Target, u64)> = versions
             .iter()
             .filter(|(target, at)| *at < newest && !view.is_loading(target))
             .collect();
-        behind.sort_by_key(|(target, at)| (!own(target), *at, target.running_everywhere(now)));
+        behind.sort_by_key(|(target, at)| (!own(target), *at, target.total_running(now)));
         for (rank, (target, at)) in behind.into_iter().enumerate() {
             let own = own(target);
             let need = if valid + rank < half.min(2) {
@@ -117,7 +117,7 @@
                 Need::Next
             } else if own && at + 1 < newest {
                 Need::Behind
-            } else if own && target.running_everywhere(now) == 0 {
+            } else if own && target.total_running(now) == 0 {
                 Need::Idle
             } else {
                 continue;
@@ -139,7 +139,7 @@
             target: name.clone(),
             address: target.entry.address,
             model: model.clone(),
-            version: view.named[model],
+            version: view.newest_versions[model],
             mode: view.mode,
         })
     });
--- a/crates/godwitspool-host/src/process/duties.rs
+++ b/crates/godwitspool-host/src/process/duties.rs
@@ -224,8 +224,8 @@
                     .collect();
                 orders.extend(plan_loads(&LoadView {
                     targets: fleet.usable(name),
-                    dealt: &fleet.deal(name, &service.models),
-                    named: &named,
+                    assigned: &fleet.assign_models(name, &service.models),
+                    newest_versions: &named,
                     loading: &loading,
                     mode,
                     now,
@@ -268,7 +268,7 @@
             });
             let mut loading = loading.lock().unwrap_or_else(PoisonError::into_inner);
             match ordered {
-                Ok(Ordered::Holds) => shared.fleet().learn(target, model, version),
+                Ok(Ordered::Holds) => shared.fleet().observe_version(target, model, version),
                 Ok(Ordered::Accepted) => {
                     shared.fleet().begin_load(target, model, version, shared.clock.now());
                     let notice = LoadNotice {
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -156,7 +156,7 @@
                     for (model, version) in &report.named {
                         shared.hear_version(model, *version, "another host");
                     }
-                    shared.fleet().report(&report, now);
+                    shared.fleet().apply_report(&report, now);
                 }
                 Ok(Notice::Load(load)) => {
                     let LoadNotice {
--- a/crates/godwitspool-host/src/process/tails.rs
+++ b/crates/godwitspool-host/src/process/tails.rs
@@ -57,7 +57,7 @@
                     log::info!(topic:?; "store answers again");
                     away = false;
                 }
-                let changes = mirrors(shared)[index(topic)].take(fetched, now);
+                let changes = mirrors(shared)[index(topic)].update(fetched, now);
                 let lapsing = failed.is_some_and(|failed| now - failed < AWAY_MEMORY);
                 apply(shared, topic, changes, lapsing);
                 if topic == Topic::Targets {
--- a/crates/godwitspool-host/src/version/configuration.rs
+++ b/crates/godwitspool-host/src/version/configuration.rs
@@ -19,7 +19,7 @@
     /// Whose a key is. Empty where no workspaces are configured.
     pub keys: HashMap<KeyDigest, Workspace>,
     /// Whether callers need keys.
-    pub keyed: bool,
+    pub require_keys: bool,
 }
 
 /// What may be repeated of a route's requests.
@@ -164,7 +164,7 @@
         route: Option<&Route>,
         key: Option<&Key>,
     ) -> Result<Option<Workspace>, AuthorizationError> {
-        if !self.keyed || route.is_some_and(|route| route.open) {
+        if !self.require_keys || route.is_some_and(|route| route.open) {
             return Ok(None);
         }
         let workspace = key.and_then(|key| self.keys.get(&key.digest()));
--- a/crates/godwitspool-host/src/version/fleet.rs
+++ b/crates/godwitspool-host/src/version/fleet.rs
@@ -133,7 +133,7 @@
     }
 
     /// Returns the requests that run there, those of other hosts included.
-    pub fn running_everywhere(&self, now: Millis) -> u32 {
+    pub fn total_running(&self, now: Millis) -> u32 {
         let others = self
             .others
             .values()
@@ -249,7 +249,7 @@
     }
 
     /// Takes over the version of a model that a target's answer named.
-    pub fn learn(&mut self, name: &TargetName, model: &ModelName, version: u64) {
+    pub fn observe_version(&mut self, name: &TargetName, model: &ModelName, version: u64) {
         if let Some(target) = self.targets.get_mut(name) {
             target.entry.models.insert(model.clone(), version);
         }
@@ -288,7 +288,7 @@
     }
 
     /// Takes over another host's report of its runs.
-    pub fn report(&mut self, report: &RunReport, now: Millis) {
+    pub fn apply_report(&mut self, report: &RunReport, now: Millis) {
         let newest = self.reports.get(&report.sender).map(|(number, _)| *number);
         if newest.is_some_and(|newest| newest > report.number) {
             return;
@@ -306,7 +306,7 @@
     }
 
     /// Takes over the time between two events of a stream.
-    pub fn pace(&mut self, name: &TargetName, between_ms: f64, now: Millis) {
+    pub fn record_pace(&mut self, name: &TargetName, between_ms: f64, now: Millis) {
         if let Some(target) = self.targets.get_mut(name) {
             let known = target.pace.filter(|(_, at)| now - *at < PACE_AGE);
             let pace = known.map_or(between_ms, |(pace, _)| {
@@ -333,7 +333,7 @@
         service: &ServiceName,
         model: &ModelName,
         min_version: u64,
-        dealt: &HashMap<TargetName, ModelName>,
+        assigned: &HashMap<TargetName, ModelName>,
         besides: Option<&TargetName>,
         now: Millis,
     ) -> Option<Placement> {
@@ -343,7 +343,7 @@
             let fits = version >= min_version
                 && Some(&target.entry.name) != besides
                 && target.paused_until <= now
-                && target.running_everywhere(now) < target.entry.slots;
+                && target.total_running(now) < target.entry.slots;
             let pace = target
                 .pace
                 .filter(|(_, at)| now - *at < PACE_AGE)
@@ -351,8 +351,8 @@
             fits.then_some((target, expected.then_some(version), pace))
         });
         let best = fitting.min_by_key(|(target, _, pace)| {
-            let own = dealt.get(&target.entry.name) == Some(model);
-            let load = target.running_everywhere(now) * 100 / target.entry.slots.max(1);
+            let own = assigned.get(&target.entry.name) == Some(model);
+            let load = target.total_running(now) * 100 / target.entry.slots.max(1);
             let slow = pace
                 .zip(usual)
                 .is_some_and(|(pace, usual)| pace > usual * SLOW_FACTOR);
@@ -368,7 +368,7 @@
 
     /// Deals a service's targets to its models, each to one, as evenly as possible and so that a
     /// change of the targets moves few of the others.
-    pub fn deal(
+    pub fn assign_models(
         &self,
         service: &ServiceName,
         models: &[ModelName],
@@ -386,10 +386,10 @@
         let share = usable.len() / models.len().max(1);
         let mut remainder = usable.len() % models.len().max(1);
         let mut counts: HashMap<&ModelName, usize> = HashMap::new();
-        let mut dealt: HashMap<TargetName, ModelName> = HashMap::new();
+        let mut assigned: HashMap<TargetName, ModelName> = HashMap::new();
         let mut full: HashSet<&ModelName> = HashSet::new();
         for (_, target, model) in pairs {
-            if dealt.contains_key(target) || full.contains(model) {
+            if assigned.contains_key(target) || full.contains(model) {
                 continue;
             }
             let count = counts.entry(model).or_default();
@@ -403,8 +403,8 @@
                 full.insert(model);
             }
             *count += 1;
-            dealt.insert(target.clone(), model.clone());
+            assigned.insert(target.clone(), model.clone());
         }
-        dealt
+        assigned
     }
 }
--- a/crates/godwitspool-host/src/version/mirror.rs
+++ b/crates/godwitspool-host/src/version/mirror.rs
@@ -100,7 +100,7 @@
     }
 
     /// Takes over what was fetched.
-    pub fn take(&mut self, fetched: Fetched, now: Millis) -> Vec<MirrorChange> {
+    pub fn update(&mut self, fetched: Fetched, now: Millis) -> Vec<MirrorChange> {
         self.confirmed = Some(now);
         match fetched {
             Fetched::All { records, end } => self.replace(records, end),
--- a/crates/godwitspool-host/tests/fleet.rs
+++ b/crates/godwitspool-host/tests/fleet.rs
@@ -33,8 +33,8 @@
 
 fn place(fleet: &Fleet, min_version: u64, now: u64) -> Option<String> {
     let (service, model) = (ServiceName::from("engine"), ModelName::from("m"));
-    let dealt = fleet.deal(&service, std::slice::from_ref(&model));
-    let place = fleet.place(&service, &model, min_version, &dealt, None, Millis(now));
+    let assigned = fleet.assign_models(&service, std::slice::from_ref(&model));
+    let place = fleet.place(&service, &model, min_version, &assigned, None, Millis(now));
     place.map(|place| place.target.to_string())
 }
 
@@ -111,7 +111,7 @@
         owned: Vec::new(),
         named: Vec::new(),
     };
-    fleet.report(&report, Millis(100));
+    fleet.apply_report(&report, Millis(100));
     assert_eq!(
         place(&fleet, 1, 200),
         None,
@@ -122,7 +122,7 @@
         running: Vec::new(),
         ..report
     };
-    fleet.report(&older, Millis(150));
+    fleet.apply_report(&older, Millis(150));
     assert_eq!(
         place(&fleet, 1, 200),
         None,
@@ -150,7 +150,7 @@
         Some(2),
         "the version is named to the target, which checks it"
     );
-    fleet.learn(&name, &model, 2);
+    fleet.observe_version(&name, &model, 2);
     let place = fleet
         .place(&service, &model, 2, &HashMap::new(), None, LOAD_TIME)
         .unwrap();
@@ -161,7 +161,7 @@
 fn slow_targets_come_last_and_are_tried_again() {
     let mut fleet = fleet([entry("a", 1), entry("b", 1), entry("c", 1)]);
     for (name, pace) in [("a", 160.0), ("b", 40.0), ("c", 41.0)] {
-        fleet.pace(&TargetName::from(name), pace, Millis(0));
+        fleet.record_pace(&TargetName::from(name), pace, Millis(0));
     }
     for name in ["b", "c"] {
         for _ in 0..3 {
@@ -181,10 +181,14 @@
     let models: Vec<ModelName> = ["x", "y", "z"].map(ModelName::from).to_vec();
     let service = ServiceName::from("engine");
     let names: Vec<String> = (0..11).map(|number| format!("t{number}")).collect();
-    let before = fleet(names.iter().map(|name| entry(name, 1))).deal(&service, &models);
-    let after = fleet(names[1..].iter().map(|name| entry(name, 1))).deal(&service, &models);
+    let before = fleet(names.iter().map(|name| entry(name, 1))).assign_models(&service, &models);
+    let after =
+        fleet(names[1..].iter().map(|name| entry(name, 1))).assign_models(&service, &models);
     for model in &models {
-        let count = before.values().filter(|dealt| *dealt == model).count();
+        let count = before
+            .values()
+            .filter(|assigned| *assigned == model)
+            .count();
         assert!((3..=4).contains(&count), "{model}: {count} of 11");
     }
     let moved = after
--- a/crates/godwitspool-host/tests/loads.rs
+++ b/crates/godwitspool-host/tests/loads.rs
@@ -58,7 +58,7 @@
         let now = Millis(at);
         running.retain(|(target, model, version, ends)| {
             if *ends <= at {
-                fleet.learn(target, model, *version);
+                fleet.observe_version(target, model, *version);
             }
             *ends > at
         });
@@ -77,8 +77,8 @@
         }
         let orders = policy(&LoadView {
             targets: fleet.usable(&service),
-            dealt: &fleet.deal(&service, &models),
-            named: &named,
+            assigned: &fleet.assign_models(&service, &models),
+            newest_versions: &named,
             loading: &loading,
             mode: LoadMode::Continue,
             now,
@@ -104,8 +104,8 @@
 fn all_at_once(view: &LoadView<'_>) -> Vec<LoadOrder> {
     let behind = view.targets.iter().filter_map(|target| {
         let name = &target.entry.name;
-        let model = view.dealt.get(name)?;
-        let newest = view.named[model];
+        let model = view.assigned.get(name)?;
+        let newest = view.newest_versions[model];
         let ordered = view
             .loading
             .get(name)
@@ -136,11 +136,11 @@
     let service = ServiceName::from("engine");
     let models: Vec<ModelName> = (0..MODELS).map(model).collect();
     let named = HashMap::from([(model(0), 2), (model(1), 9), (model(2), 2)]);
-    let dealt = fleet.deal(&service, &models);
+    let assigned = fleet.assign_models(&service, &models);
     let orders = plan_loads(&LoadView {
         targets: fleet.usable(&service),
-        dealt: &dealt,
-        named: &named,
+        assigned: &assigned,
+        newest_versions: &named,
         loading: &HashMap::new(),
         mode: LoadMode::Continue,
         now: Millis(10_000),
@@ -166,21 +166,21 @@
         fleet.finish(&lost, Outcome::Failed, Millis(0));
     }
     let named = models.iter().cloned().map(|model| (model, 2)).collect();
-    let dealt = fleet.deal(&service, &models);
+    let assigned = fleet.assign_models(&service, &models);
     let mut loading = HashMap::new();
     for round in 0..20 {
         let now = Millis(10_000 + round * 1_000);
         let orders = plan_loads(&LoadView {
             targets: fleet.usable(&service),
-            dealt: &dealt,
-            named: &named,
+            assigned: &assigned,
+            newest_versions: &named,
             loading: &loading,
             mode: LoadMode::Continue,
             now,
         });
         for order in orders {
             assert_ne!(order.target, lost);
-            fleet.learn(&order.target, &order.model, order.version);
+            fleet.observe_version(&order.target, &order.model, order.version);
             let load = Loading {
                 model: order.model,
                 version: order.version,
--- a/crates/godwitspool-host/tests/mirror.rs
+++ b/crates/godwitspool-host/tests/mirror.rs
@@ -29,14 +29,14 @@
         records: vec![stored(4, "config", Some("new"))],
         end: 6,
     };
-    assert_eq!(keys(&mirror.take(all, Millis(1))), [("config", true)]);
+    assert_eq!(keys(&mirror.update(all, Millis(1))), [("config", true)]);
     assert_eq!(mirror.next(), Some(6));
     let again = Tail {
         next: 7,
         records: vec![stored(3, "config", Some("old"))],
     };
     assert!(
-        mirror.take(Fetched::Tail(again), Millis(2)).is_empty(),
+        mirror.update(Fetched::Tail(again), Millis(2)).is_empty(),
         "older records change nothing"
     );
 }
@@ -48,18 +48,18 @@
         records: vec![stored(1, "a", Some("1")), stored(2, "b", Some("1"))],
         end: 3,
     };
-    mirror.take(first, Millis(1));
+    mirror.update(first, Millis(1));
     let second = Fetched::All {
         records: vec![stored(2, "b", Some("1"))],
         end: 9,
     };
-    assert_eq!(keys(&mirror.take(second, Millis(2))), [("a", false)]);
+    assert_eq!(keys(&mirror.update(second, Millis(2))), [("a", false)]);
     let back = Tail {
         next: 10,
         records: vec![stored(9, "a", Some("2"))],
     };
     assert_eq!(
-        keys(&mirror.take(Fetched::Tail(back), Millis(3))),
+        keys(&mirror.update(Fetched::Tail(back), Millis(3))),
         [("a", true)]
     );
 }
