--- a/crates/godwitspool-host/src/batch/progress.rs
+++ b/crates/godwitspool-host/src/batch/progress.rs
@@ -20,7 +20,7 @@
     let bounds = shared.settings.store;
     while !shared.is_draining() {
         thread::sleep(SAVE_PERIOD);
-        for (part, records) in shared.registry.unsaved(SAVE_EVENTS, &bounds) {
+        for (part, records) in shared.owned_batches.unsaved(SAVE_EVENTS, &bounds) {
             save_progress(shared.store.as_ref(), part, records, &bounds);
         }
     }
--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -100,10 +100,10 @@
     }
 
     fn wait(&self, timeout: Option<Duration>) -> io::Result<()> {
-        let mut sockets = vec![self.shared.registry.waker.socket()];
+        let mut sockets = vec![self.shared.owned_batches.waker.socket()];
         sockets.extend(self.runs.iter().map(|run| run.exchange.socket()));
         wait(&sockets, timeout)?;
-        self.shared.registry.waker.clear();
+        self.shared.owned_batches.waker.clear();
         Ok(())
     }
 
@@ -115,7 +115,7 @@
         let mut waiting = false;
         let now = self.shared.clock.now();
         let mut started = Vec::new();
-        let mut parts = self.shared.registry.lock();
+        let mut parts = self.shared.owned_batches.lock();
         for (number, part) in &mut *parts {
             let mut dropped = Vec::new();
             for batch in part.batches.values_mut().filter(|batch| batch.is_open()) {
@@ -141,7 +141,7 @@
                         waiting = true;
                         // The store may not have told yet that this version is named.
                         let (model, oldest) = (&submission.model, submission.min_version);
-                        self.shared.hear_version(model, oldest, "a batch");
+                        self.shared.learn_version(model, oldest, "a batch");
                         break;
                     };
                     batch.items[item].state = super::ItemState::Running;
@@ -238,7 +238,7 @@
     fn advance(&mut self) {
         let now = self.shared.clock.now();
         let shared = Arc::clone(&self.shared);
-        let mut parts = shared.registry.lock();
+        let mut parts = shared.owned_batches.lock();
         let look = now - self.looked >= LOOK;
         if look {
             self.looked = now;
--- a/crates/godwitspool-host/src/process/calls.rs
+++ b/crates/godwitspool-host/src/process/calls.rs
@@ -237,7 +237,7 @@
         let shared = self.shared;
         let wait = self.call.wait.unwrap_or_default();
         let found = shared
-            .registry
+            .owned_batches
             .read(batch, self.workspace.as_ref(), after, wait);
         let lookup = match found {
             Lookup::Found(page) => return shared.dialect.results(&page),
@@ -260,7 +260,7 @@
     fn body(&self, batch: &str, item: &str) -> Response {
         let found = self
             .shared
-            .registry
+            .owned_batches
             .body(batch, self.workspace.as_ref(), item);
         let lookup = match found {
             Lookup::Found(body) => return Response::new(200, body),
--- a/crates/godwitspool-host/src/process/membership.rs
+++ b/crates/godwitspool-host/src/process/membership.rs
@@ -123,7 +123,7 @@
     fn own(&mut self, part: u32, generation: u64) {
         let started = Owner::start(
             Arc::clone(&self.shared.store) as Arc<dyn Store>,
-            Arc::clone(&self.shared.registry),
+            Arc::clone(&self.shared.owned_batches),
             self.shared.settings.store,
             self.shared.settings.batch_ttl,
             (part, epoch(generation)),
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -103,7 +103,7 @@
             sender,
             number: sent.number,
             running: running.into_iter().collect(),
-            owned: shared.registry.owned(),
+            owned: shared.owned_batches.owned(),
             named: shared.named().into_iter().collect(),
         };
         report.running.sort();
@@ -151,10 +151,10 @@
             match postcard::from_bytes::<Notice>(&bytes[..length]) {
                 Ok(Notice::Runs(report)) => {
                     for (part, epoch) in &report.owned {
-                        shared.registry.observe_epoch(*part, *epoch);
+                        shared.owned_batches.observe_epoch(*part, *epoch);
                     }
                     for (model, version) in &report.named {
-                        shared.hear_version(model, *version, "another host");
+                        shared.learn_version(model, *version, "another host");
                     }
                     shared.fleet().apply_report(&report, now);
                 }
--- a/crates/godwitspool-host/src/process/shared.rs
+++ b/crates/godwitspool-host/src/process/shared.rs
@@ -55,7 +55,7 @@
     /// Idle connections to targets and hosts.
     pub pool: Arc<Pool>,
     /// Batches of the owned partitions.
-    pub registry: Arc<BatchRegistry>,
+    pub owned_batches: Arc<BatchRegistry>,
     /// Requests counted for usage.
     pub usage: UsageBook,
     /// Other hosts.
@@ -129,7 +129,7 @@
         let incarnation = rand::random::<u32>();
         let member = format!("{}#{incarnation:08x}", settings.peer);
         Ok(Self {
-            registry: Arc::new(BatchRegistry::new(settings.store.parts)?),
+            owned_batches: Arc::new(BatchRegistry::new(settings.store.parts)?),
             clock: Clock::start(),
             configuration: RwLock::default(),
             dialect: edges.dialect,
@@ -211,7 +211,7 @@
 
     /// Records a version of which a batch or another host tells, before the operators' record of it
     /// has arrived.
-    pub fn hear_version(&self, model: &ModelName, version: u64, source: &str) {
+    pub fn learn_version(&self, model: &ModelName, version: u64, source: &str) {
         if self.name_version(model, version) {
             log::info!(model:%, version, source; "version heard of");
             self.announce();
@@ -225,7 +225,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner) += 1;
         self.news.notify_all();
-        self.registry.waker.wake();
+        self.owned_batches.waker.wake();
     }
 
     /// Waits for news, up to a time.
