--- a/crates/godwitspool-host/src/dialect.rs
+++ b/crates/godwitspool-host/src/dialect.rs
@@ -1,4 +1,5 @@
-//! The edge to callers, targets and operators: what the platform's messages mean.
+//! Interfaces to the platform: translation of its messages, and the calls that only a lease holder
+//! makes.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,95 +11,95 @@
     version::{Configuration, Route, TargetEntry},
 };
 
-/// What a caller's request asks for.
+/// A caller's request in the project's types.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// The request's identifier.
+    /// Identifier that the caller gave the request, if any.
     pub id: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer; `None` if it states no limit.
     pub deadline: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<Key>,
-    /// How long an empty answer may be held back until there is something to tell.
+    /// How long a read of results may wait for the first one (long poll).
     pub wait: Option<Duration>,
-    /// Host of the route.
+    /// Value of the `Host` field without its port; selects the route.
     pub host: String,
-    /// What is asked.
+    /// The operation that the request asks for.
     pub kind: CallKind,
 }
 
 impl Call {
-    /// Returns the request's identifier as it stands in log lines.
+    /// Returns the request's identifier for log lines, `none` if it has no identifier.
     pub fn request(&self) -> &str {
         self.id.as_deref().unwrap_or("none")
     }
 }
 
-/// The kinds of calls.
+/// The operation that a request asks for.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum CallKind {
-    /// Whatever the route says.
+    /// A request for a route: it is forwarded to a target or submits a batch.
     #[default]
     Routed,
-    /// Results of a batch from a position on.
+    /// Reads the results of a batch, starting at a position.
     ReadBatch {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
-        /// First position.
+        /// Position of the first result to return.
         after: u64,
     },
-    /// The body of an item that isn't listed yet.
+    /// Reads the request body of an item that has no result yet.
     ReadItem {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
-        /// The item.
+        /// Identifier of the item within the batch.
         item: String,
     },
-    /// The end of a batch.
+    /// Ends a batch: no further item of it runs.
     EndBatch {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
     },
 }
 
-/// What a target is told beside the caller's own request.
+/// What is added to a request when it is forwarded to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardContext<'a> {
-    /// The target that is meant: another at the same address refuses.
+    /// The intended target. Another target that has taken over the address refuses the request.
     pub target: &'a TargetName,
-    /// Whose request it is.
+    /// Workspace of the caller's key; `None` on routes that need no key.
     pub workspace: Option<&'a Workspace>,
-    /// Time left for the answer.
+    /// Time that remains until the deadline; `None` for items of a batch.
     pub remaining: Option<Duration>,
-    /// Number of the last event already received: the stream goes on behind it.
+    /// Number of the last event already received: the target resumes the stream after it.
     pub resume_after: Option<u64>,
-    /// The only version of the model that may serve.
+    /// Version of the model that must serve the request; `None` allows any version.
     pub version: Option<u64>,
 }
 
-/// What a target's answer says beside its status and body.
+/// Header fields of a target's answer that the host evaluates.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Reply {
-    /// The request that is answered.
+    /// Identifier of the request that is answered.
     pub id: Option<String>,
-    /// Whether the target says that the request has not run.
+    /// Whether the target states that it has not run the request.
     pub not_run: bool,
-    /// Whether the answer bears the target's signature.
+    /// Whether the answer carries the target's signature.
     pub signed: bool,
-    /// Version of the weights.
+    /// Version of the model that served the request.
     pub version: Option<u64>,
 }
 
-/// A record of the operators.
+/// A record that operators have written.
 #[derive(Clone, Debug)]
 pub enum OperatorRecord {
-    /// A whole configuration.
+    /// A complete configuration; it replaces the earlier one.
     Configuration(Box<Configuration>),
-    /// The newest version of a model.
+    /// The newest version of a model, which targets should load.
     Version {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// Its newest version.
+        /// Number of the version.
         version: u64,
     },
 }
@@ -106,61 +107,61 @@
 /// An order to a target to load a version of a model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadOrder {
-    /// The target.
+    /// The intended target; another one at the address refuses the order.
     pub target: TargetName,
-    /// Its address.
+    /// Address to which the order is sent.
     pub address: SocketAddr,
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
     /// The version to load.
     pub version: u64,
-    /// What happens to the model's running requests.
+    /// What happens to the requests that the target is running.
     pub mode: LoadMode,
 }
 
-/// What happens to running requests when a version is loaded.
+/// What a target does with running requests when it loads a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadMode {
-    /// They go on under the new version.
+    /// They continue under the new version.
     Continue,
-    /// They finish first.
+    /// They finish before the version is loaded.
     Wait,
 }
 
-/// What came of an order.
+/// A target's answer to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ordered {
-    /// It is being carried out.
+    /// The target has begun to load the version.
     Accepted,
-    /// It holds already.
+    /// The target already has the version.
     Holds,
-    /// Another order is in progress.
+    /// The target is carrying out another order.
     Busy,
-    /// A higher fencing token was seen.
+    /// The target has seen a higher fencing token.
     Fenced,
-    /// The target is another one, or the order is refused for another reason.
+    /// Another target answered, or the order was refused for another reason.
     Refused,
 }
 
 /// Holder and fencing token of a duty.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fence {
-    /// The holder's name.
+    /// Name of the host that holds the duty.
     pub holder: String,
-    /// Grows whenever the holder changes.
+    /// Fencing token; it grows whenever the holder changes.
     pub token: u64,
 }
 
 /// Translates between the platform's messages and the project's types. Pure: no input or output.
 pub trait Dialect: Send + Sync {
-    /// Reads what a caller's request asks for.
+    /// Reads a caller's request.
     fn call(&self, request: &Request) -> Call;
 
-    /// Returns the request for a target: the caller's, without its key and with what the target is
-    /// told.
+    /// Returns a caller's request as it is sent to a target: without the key, and with the fields of
+    /// `context`.
     fn forward_request(&self, request: &Request, context: &ForwardContext<'_>) -> Request;
 
-    /// Returns the request of a batch's item for a target.
+    /// Returns the request that runs an item of a batch at a target.
     fn item_request(
         &self,
         batch: &Submission,
@@ -168,17 +169,18 @@
         context: &ForwardContext<'_>,
     ) -> Request;
 
-    /// Reads what a target's answer says.
+    /// Reads the header fields of a target's answer.
     fn reply(&self, response: &Response) -> Reply;
 
-    /// Returns a refusal that promises that the request has not run and won't.
+    /// Returns a refusal, which states that the request has not run and won't run, and asks the
+    /// caller to retry after `retry_after`.
     fn refusal(&self, retry_after: Duration) -> Response;
 
     /// Reads a submission of a batch.
     ///
     /// # Errors
     ///
-    /// With what is wrong and where.
+    /// Returns what is wrong with the request and where.
     fn submission(
         &self,
         request: &Request,
@@ -187,68 +189,67 @@
         workspace: &Workspace,
     ) -> Result<Submission, String>;
 
-    /// Returns results as the caller reads them.
+    /// Encodes a page of results for the caller.
     fn results(&self, page: &ResultPage) -> Response;
 
-    /// Reads the value of a stream's event: `Some` version if the event begins under another one,
-    /// and the event's data.
+    /// Reads an event of a token stream from its lines.
     fn event(&self, lines: &[u8]) -> StreamEvent;
 
-    /// Reads a record of the operators; `None` for records of other kinds.
+    /// Reads a record that operators have written; `None` for records of other kinds.
     ///
     /// # Errors
     ///
-    /// With what is wrong and where.
+    /// Returns what is wrong with the record and where.
     fn operator_record(&self, key: &str, value: &[u8]) -> Result<Option<OperatorRecord>, String>;
 
-    /// Reads what a target says of itself.
+    /// Reads the entry with which a target registers itself.
     ///
     /// # Errors
     ///
-    /// With what is wrong and where.
+    /// Returns what is wrong with the entry and where.
     fn target_entry(&self, key: &str, value: &[u8]) -> Result<TargetEntry, String>;
 
     /// Returns the request that orders a target to load a version.
     fn load_order(&self, order: &LoadOrder, fence: &Fence) -> Request;
 
-    /// Reads the answer to an order.
+    /// Reads a target's answer to an order.
     fn ordered(&self, response: &Response) -> Ordered;
 }
 
 /// An event of a token stream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StreamEvent {
-    /// Number of the event.
+    /// Number of the event; `None` for events that carry no output.
     pub number: Option<u64>,
-    /// Version of the weights from this event on, if it has changed.
+    /// Version of the model from this event on; `None` if it has not changed.
     pub version: Option<u64>,
-    /// Data of the event.
+    /// Data lines of the event, joined with line feeds.
     pub data: Vec<u8>,
 }
 
-/// A window's requests by workspace.
+/// Requests of a usage window by workspace.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct WindowReport {
     /// Number of the window.
     pub window: u64,
-    /// Requests that began in it.
+    /// Workspaces with the number of requests that began in the window.
     pub counts: Vec<(Workspace, u64)>,
 }
 
-/// The platform's calls that one host at a time makes.
+/// Calls to the platform that only the host with the duties' lease makes.
 pub trait Duties: Send + Sync {
-    /// Reports a window.
+    /// Reports the requests of a usage window.
     ///
     /// # Errors
     ///
-    /// When the report isn't known to be taken.
+    /// Fails unless the platform confirms the report.
     fn report(&self, report: &WindowReport, fence: &Fence) -> Result<(), DutyError>;
 
     /// Orders a number of targets of a service in a data centre.
     ///
     /// # Errors
     ///
-    /// When the order isn't known to be taken.
+    /// Fails unless the platform confirms the order.
     fn scale(
         &self,
         service: &ServiceName,
@@ -258,16 +259,16 @@
     ) -> Result<(), DutyError>;
 }
 
-/// Why a duty's call failed.
+/// Why a call of [`Duties`] failed.
 #[derive(Clone, Debug, Eq, PartialEq, snafu::Snafu)]
 pub enum DutyError {
-    /// A higher fencing token was seen.
+    /// The platform has seen a higher fencing token: another host holds the duties.
     #[snafu(display("a higher fencing token was seen"))]
     Fenced,
-    /// The call failed or its outcome is unknown; it may be repeated.
+    /// The call failed or its outcome is unknown; it may be retried.
     #[snafu(display("{reason}"))]
     Failed {
-        /// Why.
+        /// The underlying error, or the status and body of the answer.
         reason: String,
     },
 }
--- a/crates/godwitspool-host/src/store.rs
+++ b/crates/godwitspool-host/src/store.rs
@@ -1,46 +1,46 @@
-//! The edge to the platform's store: a partitioned log that keeps the newest record of each key.
+//! Interface to the platform's store: a partitioned log that keeps the newest record of each key.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// How long after the time that a read waits its answer is given up.
+/// Time that a read's answer may take beyond its wait before the read times out.
 pub const READ_SLACK: Duration = Duration::from_millis(700);
 
-/// What a partition of the store holds.
+/// Topics of the store.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Topic {
-    /// Submitted batches and their ends; any host appends.
+    /// Submitted batches and their ends. Any host appends.
     Batches,
-    /// Lease of the duties, frozen usage windows.
+    /// Frozen usage windows. The host that is assigned its partition holds the duties.
     Duty,
     /// The operators' configuration and the named versions of models.
     Operator,
-    /// Results of batches; only the partition's owner appends.
+    /// Results of batches and progress of their items. Only the partition's owner appends results.
     Results,
-    /// What targets say of themselves.
+    /// Entries with which targets register themselves.
     Targets,
-    /// Usage that hosts have counted; kept for a short time only.
+    /// Requests that hosts have counted for usage; the store keeps them for a short time only.
     Usage,
 }
 
 impl Topic {
-    /// Topics whose partitions are dealt to the hosts, each to one.
+    /// Topics whose partitions the store assigns to hosts, each to one host.
     pub const ASSIGNED: [Self; 2] = [Self::Duty, Self::Results];
 }
 
-/// A record with its key; one without a value removes the key.
+/// A keyed record. A record without a value is a tombstone: it removes the key.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Key.
+    /// Key; only the newest record of each key is kept.
     pub key: String,
-    /// Content.
+    /// Content; `None` removes the key.
     pub value: Option<Vec<u8>>,
 }
 
 impl Record {
-    /// Creates a record.
+    /// Creates a record with a value.
     pub fn new(key: impl Into<String>, value: impl Into<Vec<u8>>) -> Self {
         Self {
             key: key.into(),
@@ -57,106 +57,106 @@
     }
 }
 
-/// A record where it lies in its partition.
+/// A record with its offset in the partition.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredRecord {
-    /// Offset.
+    /// Offset within the partition; grows with each append.
     pub offset: u64,
-    /// The record.
+    /// Key and value.
     pub record: Record,
 }
 
-/// Makes appends to a partition repeatable and shuts out earlier writers.
+/// Makes appends to a partition idempotent and fences off earlier writers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Writer {
-    /// Appends of lower epochs are refused once this one was seen.
+    /// Epoch of the writer. The store refuses appends of lower epochs than the highest it has seen.
     pub epoch: u64,
-    /// Number of this append within the epoch, from 0.
+    /// Sequence number of the append within the epoch, starting at 0.
     pub seq: u64,
 }
 
-/// What came of a call to the store.
+/// Why a call to the store failed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 pub enum StoreError {
-    /// Nothing was done: the store refused, or no connection came about.
+    /// The call had no effect: the store refused it, or no connection could be made.
     #[snafu(display("nothing done: {reason}"))]
     NotDone {
-        /// Why.
+        /// The underlying error, or the status and body of the answer.
         reason: String,
     },
-    /// The call may have been carried out, or may yet be.
+    /// The call may have taken effect, or may still take effect.
     #[snafu(display("unknown whether it was done: {reason}"))]
     Unknown {
-        /// Why.
+        /// The underlying error, or the status and body of the answer.
         reason: String,
     },
-    /// A writer of a higher epoch has taken over, or another sequence number was expected.
+    /// A writer with a higher epoch has taken over, or another sequence number was expected.
     #[snafu(display("fenced: {reason}"))]
     Fenced {
-        /// What the store said.
+        /// The store's explanation.
         reason: String,
     },
-    /// Records from the asked offset on are gone.
+    /// The records at the requested offset are no longer retained.
     #[snafu(display("history before offset {first} is gone"))]
     Gone {
-        /// First offset that is still held.
+        /// First offset that is still retained.
         first: u64,
     },
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     #[snafu(display("unreadable answer: {reason}"))]
     Unreadable {
-        /// What is wrong.
+        /// The decoding error.
         reason: String,
     },
 }
 
-/// Records that follow an offset.
+/// Records from an offset on.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Tail {
-    /// Offset behind the last record of the answer.
+    /// Offset after the last record of the answer; the next read starts there.
     pub next: u64,
-    /// The records; unreadable ones are left out.
+    /// The records without those that can't be decoded.
     pub records: Vec<StoredRecord>,
 }
 
-/// Newest records of keys, in the order of their keys.
+/// A page of newest records, ordered by key.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Page {
-    /// Offset behind the partition's last record.
+    /// Offset after the partition's last record.
     pub end: u64,
     /// Whether more keys follow.
     pub more: bool,
-    /// The records.
+    /// Newest record of each key of the page.
     pub records: Vec<StoredRecord>,
 }
 
-/// Partitions that a member of the hosts' group holds.
+/// Partitions that are assigned to a member of the hosts' group.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Assignment {
-    /// Grows with each change of the group.
+    /// Generation of the group; grows with each change of its members.
     pub generation: u64,
-    /// The member's partitions.
+    /// Topic and number of each partition that the member holds.
     pub parts: Vec<(Topic, u32)>,
 }
 
-/// Who holds a partition.
+/// The member that holds a partition.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Holding {
-    /// Topic.
+    /// Topic of the partition.
     pub topic: Topic,
-    /// Partition.
+    /// Number of the partition within the topic.
     pub part: u32,
-    /// The member, by the name under which it joined.
+    /// Name under which the member joined.
     pub member: String,
 }
 
-/// The platform's store. Calls block, each with its own bound on time.
+/// The platform's store. Calls block, each with its own timeout.
 pub trait Store: Send + Sync {
-    /// Appends records, all or none.
+    /// Appends records atomically.
     ///
     /// # Errors
     ///
-    /// When they aren't known to be appended.
+    /// Fails unless the store confirms the append.
     fn append(
         &self,
         topic: Topic,
@@ -165,47 +165,51 @@
         writer: Option<Writer>,
     ) -> Result<(), StoreError>;
 
-    /// Reads the records from an offset on; waits up to `wait` for the first.
+    /// Reads the records from an offset on; waits up to `wait` for the first one.
     ///
     /// # Errors
     ///
-    /// When they can't be read or are gone.
+    /// Returns [`StoreError::Gone`] if records at the offset are no longer retained, another error
+    /// if the store doesn't answer.
     fn read(&self, topic: Topic, part: u32, from: u64, wait: Duration) -> Result<Tail, StoreError>;
 
-    /// Reads the newest record of each key that follows `after`, up to a page.
+    /// Reads a page of the newest records of the keys after `after`, or of all keys.
     ///
     /// # Errors
     ///
-    /// When the page can't be read.
+    /// Fails if the page can't be read.
     fn newest(&self, topic: Topic, part: u32, after: Option<&str>) -> Result<Page, StoreError>;
 
-    /// Joins the hosts' group or stays in it.
+    /// Joins the hosts' group, or renews the membership for `ttl`.
     ///
     /// # Errors
     ///
-    /// When the membership isn't known to be renewed.
+    /// Fails unless the store confirms the membership.
     fn join(&self, member: &str, generation: u64, ttl: Duration) -> Result<Assignment, StoreError>;
 
     /// Leaves the hosts' group.
     ///
     /// # Errors
     ///
-    /// When the member isn't known to have left.
+    /// Fails unless the store confirms that the member has left.
     fn leave(&self, member: &str) -> Result<(), StoreError>;
 
-    /// Returns who holds which partition.
+    /// Returns the holder of each assigned partition.
     ///
     /// # Errors
     ///
-    /// When the store doesn't say.
+    /// Fails if the store doesn't answer.
     fn holdings(&self) -> Result<Vec<Holding>, StoreError>;
 }
 
-/// Reads the newest records of all keys of a partition that follow `after`.
+/// Reads the newest records of a partition's keys after `after`, or of all keys, in pages. Stops
+/// after the first page with a key that `wanted` refuses, and leaves such keys out.
+///
+/// Also returns the offset from which a reader continues with [`Store::read`].
 ///
 /// # Errors
 ///
-/// When a page can't be read.
+/// Fails if a page can't be read.
 pub fn read_all(
     store: &dyn Store,
     topic: Topic,
@@ -218,7 +222,8 @@
     let mut end = None;
     loop {
         let page = store.newest(topic, part, after.as_deref())?;
-        // Pages are no snapshot: what follows the first page's end is read again by the tail.
+        // Pages are not a consistent snapshot, so the end of the first page is returned: reading
+        // the tail from there covers every record that was appended in between.
         end = end.or(Some(page.end));
         let last = page.records.last().map(|stored| stored.record.key.clone());
         let whole = page.records.iter().all(|stored| wanted(&stored.record.key));
