--- a/crates/godwitspool-host/src/batch/mod.rs
+++ b/crates/godwitspool-host/src/batch/mod.rs
@@ -16,12 +16,12 @@
 
 pub use order::{order_items, predicted_tokens};
 pub use owner::{Owner, StoredBatch, read_stored};
-pub use pace::{Move, Pace, RunView, decide_move, usual_pace};
+pub use pace::{Move, Pace, RunView, decide_move, median_pace};
 pub use progress::{save_progress, save_running};
 pub use record::{BatchRecord, partition_of};
-pub use registry::{BatchRegistry, Lookup, Part, page};
+pub use registry::{BatchRegistry, Lookup, OwnedPartition, page};
 pub use runner::Runner;
-pub use state::{Batch, Finished, Item, ItemState, Progress, RunFailure, Verdict};
+pub use state::{Batch, Finished, Item, ItemProgress, ItemState, RunFailure, Verdict};
 pub use stored_results::StoredResults;
 
 use std::collections::HashMap;
--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -21,22 +21,22 @@
 };
 
 /// Longest wait for a new batch in one read: an answer that is lost delays a batch by so much.
-const READ_WAIT: Duration = Duration::from_secs(1);
+const MAX_READ_WAIT: Duration = Duration::from_secs(1);
 /// Results that end within this time share an append; small beside the seconds in which a step's
 /// results are due, and it bounds the writes of a partition to 25 a second.
-const GROUP_DELAY: Duration = Duration::from_millis(40);
+const MAX_GROUP_DELAY: Duration = Duration::from_millis(40);
 /// Time that a batch is kept beyond the time for which it must stay readable, so that hosts whose
 /// clocks differ by seconds agree.
 const TTL_MARGIN: Duration = Duration::from_secs(30);
 /// Time between two looks at batches whose time is over.
-const EXPIRY_LOOK: Duration = Duration::from_secs(5);
-/// Pauses after a failed call to the store: first, and longest.
-const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
+/// Pauses after a failed call to the store: first, and max_pause.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
 /// Longest time in which a partition that is given up writes the results that wait: a few calls to
 /// the store.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time between two looks whether they are written.
-const HAND_OVER_LOOK: Duration = Duration::from_millis(5);
+const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Stack of the partition's threads.
 const STACK_BYTES: usize = 256 * 1024;
 
@@ -136,7 +136,7 @@
         let items = progress.len();
         let saved = save_progress(self.store.as_ref(), self.part, progress, &self.bounds);
         while self.writing.load(Ordering::SeqCst) && began.elapsed() < HAND_OVER_TIMEOUT {
-            thread::sleep(HAND_OVER_LOOK);
+            thread::sleep(HAND_OVER_POLL_INTERVAL);
         }
         let took_ms = began.elapsed().as_millis() as u64;
         log::info!(
@@ -157,13 +157,13 @@
             self.store
                 .append(Topic::Results, self.part, &[], Some(writer))
         };
-        if self.persist("fence", fence).is_none() {
+        if self.retry_call("fence", fence).is_none() {
             return;
         }
-        let Some((results, _)) = self.persist("results", || self.load(Topic::Results)) else {
+        let Some((results, _)) = self.retry_call("results", || self.load(Topic::Results)) else {
             return;
         };
-        let Some((records, mut next)) = self.persist("batches", || self.load(Topic::Batches))
+        let Some((records, mut next)) = self.retry_call("batches", || self.load(Topic::Batches))
         else {
             return;
         };
@@ -189,18 +189,18 @@
             return;
         }
         while !self.is_stopped() {
-            let read = || match self.store.read(Topic::Batches, part, next, READ_WAIT) {
+            let read = || match self.store.read(Topic::Batches, part, next, MAX_READ_WAIT) {
                 Err(StoreError::Gone { .. }) => {
                     let (records, end) = self.load(Topic::Batches)?;
                     Ok((records, end))
                 }
                 read => read.map(|tail| (tail.records, tail.next)),
             };
-            let Some((records, end)) = self.persist("tail", read) else {
+            let Some((records, end)) = self.retry_call("tail", read) else {
                 return;
             };
             next = end;
-            self.follow(records, &mut assembly);
+            self.apply_records(records, &mut assembly);
         }
     }
 
@@ -217,8 +217,8 @@
     }
 
     /// Repeats a call until it succeeds; `None` once the partition is lost or given up.
-    fn persist<T>(&self, what: &str, call: impl Fn() -> Result<T, StoreError>) -> Option<T> {
-        let (mut pause, longest) = RETRY_PAUSE;
+    fn retry_call<T>(&self, what: &str, call: impl Fn() -> Result<T, StoreError>) -> Option<T> {
+        let (mut pause, max_pause) = RETRY_BACKOFF;
         let mut failed = false;
         while !self.is_stopped() {
             match call() {
@@ -238,7 +238,7 @@
                     }
                     failed = true;
                     thread::sleep(pause);
-                    pause = (pause * 2).min(longest);
+                    pause = (pause * 2).min(max_pause);
                 }
             }
         }
@@ -277,7 +277,7 @@
         (batches.into_values().collect(), positions)
     }
 
-    fn follow(&self, records: Vec<StoredRecord>, assembly: &mut Assembly) {
+    fn apply_records(&self, records: Vec<StoredRecord>, assembly: &mut Assembly) {
         for change in assembly.read(self.part, records) {
             match change {
                 Change::Accepted(submission) => {
@@ -292,7 +292,7 @@
                         log::info!(batch:%, partition = self.part; "batch ended");
                     }
                 }
-                Change::Removed(batch) => self.registry.forget(self.part, &batch),
+                Change::Removed(batch) => self.registry.delete_batch(self.part, &batch),
             }
         }
     }
@@ -310,12 +310,12 @@
                 self.store
                     .append(Topic::Results, self.part, &results, Some(writer))
             };
-            self.persist("remove results", append)?;
+            self.retry_call("remove results", append)?;
             *seq += 1;
             let append = || self.store.append(Topic::Batches, self.part, &batch, None);
-            self.persist("remove batch", append)?;
+            self.retry_call("remove batch", append)?;
             log::info!(batch:% = submission.id, partition = self.part; "batch removed, its time is over");
-            self.registry.forget(self.part, &submission.id);
+            self.registry.delete_batch(self.part, &submission.id);
         }
         Some(())
     }
@@ -324,7 +324,7 @@
     fn write(&self, receiver: &Receiver<Finished>, mut positions: HashMap<String, u64>) {
         let mut seq = 1;
         loop {
-            let first = match receiver.recv_timeout(EXPIRY_LOOK) {
+            let first = match receiver.recv_timeout(EXPIRY_INTERVAL) {
                 Ok(first) => first,
                 Err(RecvTimeoutError::Timeout) if self.is_stopped() => return,
                 Err(RecvTimeoutError::Timeout) => {
@@ -337,7 +337,7 @@
             };
             let mut group = vec![first];
             let mut bytes = group[0].result.output.len();
-            let due = Instant::now() + GROUP_DELAY;
+            let due = Instant::now() + MAX_GROUP_DELAY;
             while bytes < self.bounds.call_bytes / 2 {
                 let left = due.saturating_duration_since(Instant::now());
                 match receiver.recv_timeout(left) {
@@ -364,11 +364,11 @@
                 self.store
                     .append(Topic::Results, self.part, &records, Some(writer))
             };
-            if self.persist("append results", append).is_none() {
+            if self.retry_call("append results", append).is_none() {
                 return;
             }
             seq += 1;
-            self.registry.list(self.part, self.epoch, &group);
+            self.registry.publish_results(self.part, self.epoch, &group);
         }
     }
 }
@@ -376,7 +376,7 @@
 /// Puts submissions together that lie in several records.
 #[derive(Debug, Default)]
 struct Assembly {
-    parts: HashMap<String, BTreeMap<u32, Vec<u8>>>,
+    chunks: HashMap<String, BTreeMap<u32, Vec<u8>>>,
 }
 
 enum Change {
@@ -390,25 +390,27 @@
         let mut changes = Vec::new();
         for stored in records {
             match BatchRecord::read(stored) {
-                Ok(BatchRecord::Part {
+                Ok(BatchRecord::Chunk {
                     batch,
                     index,
                     bytes,
                 }) => {
-                    self.parts.entry(batch).or_default().insert(index, bytes);
+                    self.chunks.entry(batch).or_default().insert(index, bytes);
                 }
-                Ok(BatchRecord::Whole { batch, parts }) => match self.join(&batch, parts) {
-                    Ok(submission) => changes.push(Change::Accepted(submission)),
-                    Err(reason) => {
-                        log::warn!(partition = part, batch:%, reason:%; "batch left out");
+                Ok(BatchRecord::Commit { batch, chunk_count }) => {
+                    match self.join(&batch, chunk_count) {
+                        Ok(submission) => changes.push(Change::Accepted(submission)),
+                        Err(reason) => {
+                            log::warn!(partition = part, batch:%, reason:%; "batch left out");
+                        }
                     }
-                },
+                }
                 Ok(BatchRecord::End { batch }) => changes.push(Change::Ended(batch)),
                 Ok(BatchRecord::Removed { batch }) => changes.push(Change::Removed(batch)),
                 Ok(
                     BatchRecord::Progress { .. }
                     | BatchRecord::Result { .. }
-                    | BatchRecord::ResultPart { .. },
+                    | BatchRecord::ResultChunk { .. },
                 ) => {}
                 Err(error) => log::warn!(partition = part, error:%; "batch record left out"),
             }
@@ -417,11 +419,11 @@
     }
 
     fn join(&mut self, batch: &str, count: u32) -> Result<Submission, String> {
-        let parts = self.parts.remove(batch).unwrap_or_default();
-        if parts.len() != count as usize {
-            return Err(format!("{} of {count} parts", parts.len()));
+        let chunks = self.chunks.remove(batch).unwrap_or_default();
+        if chunks.len() != count as usize {
+            return Err(format!("{} of {count} parts", chunks.len()));
         }
-        let bytes: Vec<u8> = parts.into_values().flatten().collect();
+        let bytes: Vec<u8> = chunks.into_values().flatten().collect();
         postcard::from_bytes(&bytes).map_err(|error| error.to_string())
     }
 }
@@ -439,9 +441,9 @@
     part: u32,
     batch: &str,
 ) -> Result<Option<StoredBatch>, StoreError> {
-    let before = BatchRecord::before(batch);
+    let prefix = BatchRecord::key_prefix(batch);
     let belongs = |key: &str| BatchRecord::belongs(key, batch);
-    let (records, _) = read_all(store, Topic::Batches, part, Some(&before), belongs)?;
+    let (records, _) = read_all(store, Topic::Batches, part, Some(&prefix), belongs)?;
     let changes = Assembly::default().read(part, records);
     let mut accepted = changes.into_iter().filter_map(|change| match change {
         Change::Accepted(submission) => Some(submission),
@@ -450,7 +452,7 @@
     let Some(submission) = accepted.next() else {
         return Ok(None);
     };
-    let (records, _) = read_all(store, Topic::Results, part, Some(&before), belongs)?;
+    let (records, _) = read_all(store, Topic::Results, part, Some(&prefix), belongs)?;
     let results = StoredResults::read(part, records).take_results(batch);
     Ok(Some((Arc::new(submission), results)))
 }
--- a/crates/godwitspool-host/src/batch/record.rs
+++ b/crates/godwitspool-host/src/batch/record.rs
@@ -5,14 +5,14 @@
 use rapidhash::v3::rapidhash_v3;
 use snafu::Snafu;
 
-use super::{ItemResult, Progress, Submission};
+use super::{ItemProgress, ItemResult, Submission};
 use crate::{
     StoreBounds,
     store::{Record, StoredRecord},
 };
 
 /// Room left in a record for its key and framing.
-const RECORD_OVERHEAD: usize = 256;
+const RECORD_OVERHEAD_BYTES: usize = 256;
 
 /// Returns the partition of a batch. Every host must agree on it.
 pub fn partition_of(batch: &str, parts: u32) -> u32 {
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BatchRecord {
     /// Part of a submission that is larger than a record.
-    Part {
+    Chunk {
         /// The batch.
         batch: String,
         /// Number of the part.
@@ -32,11 +32,11 @@
         bytes: Vec<u8>,
     },
     /// The submission is whole with so many parts.
-    Whole {
+    Commit {
         /// The batch.
         batch: String,
         /// Number of parts.
-        parts: u32,
+        chunk_count: u32,
     },
     /// The batch has been ended.
     End {
@@ -50,7 +50,7 @@
         /// The item's index.
         item: u32,
         /// What was generated.
-        progress: Progress,
+        progress: ItemProgress,
     },
     /// A result in its position.
     Result {
@@ -62,7 +62,7 @@
         result: ItemResult,
     },
     /// Part of a result that is larger than a record.
-    ResultPart {
+    ResultChunk {
         /// The batch.
         batch: String,
         /// The position.
@@ -70,7 +70,7 @@
         /// Number of the part.
         index: u32,
         /// How many parts there are.
-        parts: u32,
+        chunk_count: u32,
         /// Its bytes.
         bytes: Vec<u8>,
     },
@@ -93,14 +93,17 @@
     /// Returns the appends that store a submission, in their order: the last one makes it whole.
     pub fn of_submission(submission: &Submission, bounds: &StoreBounds) -> Vec<Vec<Record>> {
         let bytes = encode(submission);
-        let size = bounds.record_bytes.saturating_sub(RECORD_OVERHEAD).max(1);
+        let size = bounds
+            .record_bytes
+            .saturating_sub(RECORD_OVERHEAD_BYTES)
+            .max(1);
         let id = &submission.id;
         let chunks = bytes.chunks(size).enumerate();
         let mut records: Vec<Record> = chunks
             .map(|(index, chunk)| Record::new(format!("{id}/b{index:05}"), chunk))
             .collect();
-        let parts = records.len() as u32;
-        records.push(Record::new(format!("{id}/c"), parts.to_be_bytes()));
+        let chunk_count = records.len() as u32;
+        records.push(Record::new(format!("{id}/c"), chunk_count.to_be_bytes()));
         split_calls(records, bounds)
     }
 
@@ -136,15 +139,18 @@
         bounds: &StoreBounds,
     ) -> Vec<Record> {
         let bytes = encode(result);
-        let size = bounds.record_bytes.saturating_sub(RECORD_OVERHEAD).max(1);
+        let size = bounds
+            .record_bytes
+            .saturating_sub(RECORD_OVERHEAD_BYTES)
+            .max(1);
         if bytes.len() <= size {
             return vec![Record::new(format!("{batch}/r{position:08}"), bytes)];
         }
-        let parts = bytes.len().div_ceil(size) as u32;
+        let chunk_count = bytes.len().div_ceil(size) as u32;
         let chunks = bytes.chunks(size).enumerate();
         chunks
             .map(|(index, chunk)| {
-                let value = [&parts.to_be_bytes()[..], chunk].concat();
+                let value = [&chunk_count.to_be_bytes()[..], chunk].concat();
                 Record::new(format!("{batch}/q{position:08}.{index:05}"), value)
             })
             .collect()
@@ -154,11 +160,11 @@
     pub fn of_progress(
         batch: &str,
         item: u32,
-        progress: &Progress,
+        progress: &ItemProgress,
         bounds: &StoreBounds,
     ) -> Option<Record> {
         let value = encode(progress);
-        let fits = value.len() + RECORD_OVERHEAD <= bounds.record_bytes;
+        let fits = value.len() + RECORD_OVERHEAD_BYTES <= bounds.record_bytes;
         fits.then(|| Record::new(Self::progress_key(batch, item), value))
     }
 
@@ -168,7 +174,7 @@
     }
 
     /// Returns the smallest key behind which all keys of a batch follow.
-    pub fn before(batch: &str) -> String {
+    pub fn key_prefix(batch: &str) -> String {
         format!("{batch}/")
     }
 
@@ -196,19 +202,19 @@
         };
         let number = |digits: &str| digits.parse::<u64>().ok().ok_or_else(|| wrong("no number"));
         match kind.split_at_checked(1) {
-            Some(("b", digits)) => Ok(Self::Part {
+            Some(("b", digits)) => Ok(Self::Chunk {
                 batch,
                 index: number(digits)? as u32,
                 bytes: value,
             }),
             Some(("c", "")) => {
-                let parts = value
+                let chunk_count = value
                     .try_into()
                     .ok()
                     .ok_or_else(|| wrong("no count of parts"))?;
-                Ok(Self::Whole {
+                Ok(Self::Commit {
                     batch,
-                    parts: u32::from_be_bytes(parts),
+                    chunk_count: u32::from_be_bytes(chunk_count),
                 })
             }
             Some(("e", "")) => Ok(Self::End { batch }),
@@ -220,13 +226,13 @@
             }),
             Some(("q", place)) => {
                 let (position, index) = place.split_once('.').ok_or_else(|| wrong("no part"))?;
-                let (parts, bytes) = value
+                let (chunk_count, bytes) = value
                     .split_first_chunk()
                     .ok_or_else(|| wrong("no count of parts"))?;
-                Ok(Self::ResultPart {
+                Ok(Self::ResultChunk {
                     position: number(position)?,
                     index: number(index)? as u32,
-                    parts: u32::from_be_bytes(*parts),
+                    chunk_count: u32::from_be_bytes(*chunk_count),
                     bytes: bytes.to_vec(),
                     batch,
                 })
@@ -246,7 +252,7 @@
     let mut calls: Vec<Vec<Record>> = vec![Vec::new()];
     let mut used = 0;
     for record in records {
-        let length = record.value.as_ref().map_or(0, Vec::len) + RECORD_OVERHEAD;
+        let length = record.value.as_ref().map_or(0, Vec::len) + RECORD_OVERHEAD_BYTES;
         if used + length > bounds.call_bytes {
             calls.push(Vec::new());
             used = 0;
--- a/crates/godwitspool-host/src/batch/registry.rs
+++ b/crates/godwitspool-host/src/batch/registry.rs
@@ -13,14 +13,14 @@
 use crate::{StoreBounds, http::Waker, store::Record};
 
 /// Bytes of results in one answer; the interface allows a megabyte.
-const PAGE_BYTES: usize = 900 * 1024;
+const MAX_PAGE_BYTES: usize = 900 * 1024;
 
 /// The batches of the partitions that this host owns.
 #[derive(Debug)]
 pub struct BatchRegistry {
-    parts: Mutex<BTreeMap<u32, Part>>,
+    parts: Mutex<BTreeMap<u32, OwnedPartition>>,
     changed: Condvar,
-    count: u32,
+    part_count: u32,
     /// Highest epoch known of each partition, of this host's or another's ownership.
     epochs: Mutex<BTreeMap<u32, u64>>,
     /// Wakes the runner when there may be something to start or to stop.
@@ -29,7 +29,7 @@
 
 /// An owned partition.
 #[derive(Debug)]
-pub struct Part {
+pub struct OwnedPartition {
     /// Epoch under which it is owned.
     pub epoch: u64,
     /// Its batches.
@@ -37,9 +37,9 @@
     writer: Sender<Finished>,
 }
 
-impl Part {
+impl OwnedPartition {
     /// Hands a finished item to the partition's writer.
-    pub fn write(&self, finished: Finished) {
+    pub fn send_result(&self, finished: Finished) {
         if self.writer.send(finished).is_err() {
             // The partition is being closed; its next owner runs the item again.
             log::info!(epoch = self.epoch; "result dropped, partition closes");
@@ -47,17 +47,17 @@
     }
 }
 
-impl Part {
+impl OwnedPartition {
     /// Returns records of what items have generated beyond what was saved of them.
     fn unsaved(&mut self, events: u64, bounds: &StoreBounds) -> Vec<Record> {
         let mut records = Vec::new();
         for batch in self.batches.values_mut().filter(|batch| batch.is_open()) {
             let id = &batch.submission.id;
             for (index, item) in batch.items.iter_mut().enumerate() {
-                if item.is_unsaved(events) {
+                if item.has_unsaved(events) {
                     let record = BatchRecord::of_progress(id, index as u32, &item.progress, bounds);
                     // The record may reach the store even if the call fails.
-                    item.saved = item.progress.last_event;
+                    item.saved_event = item.progress.last_event;
                     records.extend(record);
                 }
             }
@@ -66,12 +66,12 @@
     }
 
     /// Returns records that remove what was saved of items of batches that are over.
-    fn take_obsolete(&mut self) -> Vec<Record> {
+    fn tombstones(&mut self) -> Vec<Record> {
         let mut records = Vec::new();
         for batch in self.batches.values_mut().filter(|batch| !batch.is_open()) {
             let id = &batch.submission.id;
             for (index, item) in batch.items.iter_mut().enumerate() {
-                if item.saved.take().is_some() {
+                if item.saved_event.take().is_some() {
                     let key = BatchRecord::progress_key(id, index as u32);
                     records.push(Record::tombstone(key));
                 }
@@ -102,14 +102,14 @@
         Ok(Self {
             parts: Mutex::new(BTreeMap::new()),
             changed: Condvar::new(),
-            count: parts,
+            part_count: parts,
             epochs: Mutex::default(),
             waker: Waker::new()?,
         })
     }
 
     /// Gives access to the owned partitions.
-    pub fn lock(&self) -> MutexGuard<'_, BTreeMap<u32, Part>> {
+    pub fn lock(&self) -> MutexGuard<'_, BTreeMap<u32, OwnedPartition>> {
         self.parts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -119,7 +119,7 @@
         let batches = batches
             .map(|batch| (batch.submission.id.clone(), batch))
             .collect();
-        let opened = Part {
+        let opened = OwnedPartition {
             epoch,
             batches,
             writer,
@@ -186,7 +186,7 @@
         let mut parts = self.lock();
         let unsaved = parts.iter_mut().map(|(number, part)| {
             let mut records = part.unsaved(events, bounds);
-            records.extend(part.take_obsolete());
+            records.extend(part.tombstones());
             (*number, records)
         });
         unsaved.filter(|(_, records)| !records.is_empty()).collect()
@@ -223,7 +223,7 @@
     }
 
     /// Drops a batch whose records were removed.
-    pub fn forget(&self, part: u32, batch: &str) {
+    pub fn delete_batch(&self, part: u32, batch: &str) {
         if let Some(part) = self.lock().get_mut(&part) {
             part.batches.remove(batch);
         }
@@ -245,7 +245,7 @@
     }
 
     /// Lists results that the store holds now.
-    pub fn list(&self, part: u32, epoch: u64, listed: &[Finished]) {
+    pub fn publish_results(&self, part: u32, epoch: u64, listed: &[Finished]) {
         let mut parts = self.lock();
         let Some(part) = parts.get_mut(&part).filter(|part| part.epoch == epoch) else {
             return;
@@ -270,7 +270,7 @@
         let due = Instant::now() + wait;
         let mut parts = self.lock();
         loop {
-            let Some(part) = parts.get(&partition_of(id, self.count)) else {
+            let Some(part) = parts.get(&partition_of(id, self.part_count)) else {
                 return Lookup::NotOwned;
             };
             let Some(batch) = find(part, id, workspace) else {
@@ -289,7 +289,7 @@
     /// Returns the body of an item that has no result yet.
     pub fn body(&self, id: &str, workspace: Option<&Workspace>, item: &str) -> Lookup<Vec<u8>> {
         let parts = self.lock();
-        let Some(part) = parts.get(&partition_of(id, self.count)) else {
+        let Some(part) = parts.get(&partition_of(id, self.part_count)) else {
             return Lookup::NotOwned;
         };
         let Some(batch) = find(part, id, workspace) else {
@@ -308,7 +308,11 @@
     }
 }
 
-fn find<'a>(part: &'a Part, id: &str, workspace: Option<&Workspace>) -> Option<&'a Batch> {
+fn find<'a>(
+    part: &'a OwnedPartition,
+    id: &str,
+    workspace: Option<&Workspace>,
+) -> Option<&'a Batch> {
     let batch = part.batches.get(id)?;
     let allowed = workspace.is_none_or(|workspace| batch.submission.workspace == *workspace);
     allowed.then_some(batch)
@@ -323,7 +327,7 @@
         .take_while(|result| {
             let first = used == 0;
             used += result.output.len() + 128;
-            first || used <= PAGE_BYTES
+            first || used <= MAX_PAGE_BYTES
         })
         .map(|result| {
             let item = submission.items.get(result.item as usize);
--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -12,17 +12,17 @@
 
 /// A run whose target sends nothing for so long goes on elsewhere. Loads of weights stop a target
 /// for about a second, longer while several load.
-const EVENT_STALL: Millis = Millis(3_000);
+const EVENT_TIMEOUT: Millis = Millis(3_000);
 /// A run whose target hasn't begun to answer for so long is tried elsewhere: the time in which a
 /// full queue of a target empties.
-const HEAD_STALL: Millis = Millis(4_000);
+const HEAD_TIMEOUT: Millis = Millis(4_000);
 /// A target that doesn't take a connection for so long is taken as gone: several round trips
 /// between data centres.
-const CONNECT_STALL: Millis = Millis(300);
+const CONNECT_TIMEOUT: Millis = Millis(300);
 /// Another target counts as faster below this multiple of the usual time between events.
-const FASTER_FACTOR: f64 = 1.5;
+const MOVE_PACE_FACTOR: f64 = 1.5;
 /// Time between looks at stalled runs, and at items that found no target.
-const LOOK: Millis = Millis(100);
+const CHECK_INTERVAL: Millis = Millis(100);
 
 /// Runs the items of the owned partitions, in one thread.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     shared: Arc<Shared>,
     runs: Vec<Run>,
     /// When stalled and slow runs were looked for last.
-    looked: Millis,
+    last_check: Millis,
 }
 
 /// An item that runs at a target.
@@ -47,7 +47,7 @@
     /// Bytes of an event that isn't whole yet.
     buffer: Vec<u8>,
     began: Millis,
-    heard: Millis,
+    last_data: Millis,
     head_read: bool,
     pace: Pace,
     service: ServiceName,
@@ -55,7 +55,7 @@
 
 /// How a run stands after its socket was served.
 enum Step {
-    Goes,
+    Active,
     Ended(RunEnd),
 }
 
@@ -69,7 +69,7 @@
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
-            looked: Millis::ZERO,
+            last_check: Millis::ZERO,
             runs: Vec::new(),
         }
     }
@@ -83,7 +83,7 @@
         loop {
             let waiting = self.start_items();
             self.report();
-            let timeout = (waiting || !self.runs.is_empty()).then(|| LOOK.duration());
+            let timeout = (waiting || !self.runs.is_empty()).then(|| CHECK_INTERVAL.duration());
             self.wait(timeout)?;
             self.advance();
         }
@@ -153,7 +153,7 @@
                 }
             }
             for finished in dropped {
-                part.write(finished);
+                part.send_result(finished);
             }
         }
         drop(parts);
@@ -173,8 +173,8 @@
         let submission = Arc::clone(&batch.submission);
         let spec = &submission.items[index];
         let progress = &batch.items[index].progress;
-        let resumed = submission.single_version && progress.last_event.is_some();
-        let only = progress.version.filter(|_| resumed);
+        let resuming = submission.single_version && progress.last_event.is_some();
+        let pinned = progress.version.filter(|_| resuming);
         let models = configuration
             .services
             .get(service)
@@ -196,7 +196,7 @@
             workspace: Some(&submission.workspace),
             remaining: None,
             resume_after: progress.last_event,
-            version: only.or(place.expected),
+            version: pinned.or(place.expected),
         };
         let request = shared.dialect.item_request(&submission, spec, &context);
         let connection = match shared.pool.connect(address) {
@@ -225,7 +225,7 @@
             exchange: Exchange::new(connection, &request),
             buffer: Vec::new(),
             began: now,
-            heard: now,
+            last_data: now,
             head_read: false,
             pace: Pace::default(),
             service: service.clone(),
@@ -239,11 +239,11 @@
         let now = self.shared.clock.now();
         let shared = Arc::clone(&self.shared);
         let mut parts = shared.owned_batches.lock();
-        let look = now - self.looked >= LOOK;
-        if look {
-            self.looked = now;
+        let check_due = now - self.last_check >= CHECK_INTERVAL;
+        if check_due {
+            self.last_check = now;
         }
-        let mut going = Vec::with_capacity(self.runs.len());
+        let mut active = Vec::with_capacity(self.runs.len());
         for mut run in std::mem::take(&mut self.runs) {
             let part = parts
                 .get_mut(&run.part)
@@ -253,33 +253,33 @@
                 shared.fleet().finish(&run.target, Outcome::Dropped, now);
                 continue;
             };
-            let end = match run.step(&shared, batch, look, now) {
-                Step::Goes => {
-                    going.push(run);
+            let end = match run.step(&shared, batch, check_due, now) {
+                Step::Active => {
+                    active.push(run);
                     continue;
                 }
                 Step::Ended(end) => end,
             };
             let finished = run.end(&shared, batch, &end, now);
             if let (Some(finished), Some(part)) = (finished, parts.get_mut(&run.part)) {
-                part.write(finished);
+                part.send_result(finished);
             }
             run.release(&shared);
         }
         drop(parts);
-        self.runs.extend(going);
+        self.runs.extend(active);
     }
 }
 
 impl Run {
-    fn step(&mut self, shared: &Shared, batch: &mut Batch, look: bool, now: Millis) -> Step {
+    fn step(&mut self, shared: &Shared, batch: &mut Batch, check_due: bool, now: Millis) -> Step {
         let progress = self.exchange.advance();
         let failed = |failure, outcome| Step::Ended(RunEnd::Failed(failure, outcome));
         if !self.head_read
             && let Some(head) = self.exchange.head()
         {
             self.head_read = true;
-            self.heard = now;
+            self.last_data = now;
             let reply = shared.dialect.reply(head);
             let spec = &self.submission.items[self.item];
             if reply.id.as_deref() != Some(&spec.id) {
@@ -302,20 +302,20 @@
                 self.buffer.extend_from_slice(&bytes);
                 match self.read_events(shared, batch) {
                     Ok(events) => {
-                        let since_last = now - self.heard;
+                        let since_last = now - self.last_data;
                         if self.pace.events > 0 && events > 0 {
-                            let between_ms = since_last.0 as f64 / f64::from(events);
-                            shared.fleet().record_pace(&self.target, between_ms, now);
+                            let interval_ms = since_last.0 as f64 / f64::from(events);
+                            shared.fleet().record_pace(&self.target, interval_ms, now);
                         }
                         self.pace.push(events, since_last);
                     }
                     Err(failure) => return failed(failure, Outcome::Failed),
                 }
-                self.heard = now;
+                self.last_data = now;
             }
         }
         match progress {
-            Ok(Progress::Pending) if !look => Step::Goes,
+            Ok(Progress::Pending) if !check_due => Step::Active,
             Ok(Progress::Pending) => self.check_stall(shared, batch, now),
             Ok(Progress::Done) => self.done(shared, batch, now),
             Err(error) => {
@@ -331,12 +331,12 @@
     }
 
     fn check_stall(&self, shared: &Shared, batch: &Batch, now: Millis) -> Step {
-        let silent = now - self.heard;
+        let silent = now - self.last_data;
         if let Some(reason) = self.check_move(shared, batch, now) {
             let spec = &self.submission.items[self.item];
             log::info!(
                 item:% = spec.id, target_name:% = self.target, reason:?, silent_ms = silent.0,
-                between_ms = self.pace.between_ms, events = self.pace.events;
+                between_ms = self.pace.interval_ms, events = self.pace.events;
                 "run moves"
             );
             let outcome = match reason {
@@ -346,12 +346,12 @@
             return Step::Ended(RunEnd::Failed(RunFailure::Moved, outcome));
         }
         let bound = match (self.head_read, self.exchange.was_sent()) {
-            (true, _) => EVENT_STALL,
-            (false, true) => HEAD_STALL,
-            (false, false) => CONNECT_STALL,
+            (true, _) => EVENT_TIMEOUT,
+            (false, true) => HEAD_TIMEOUT,
+            (false, false) => CONNECT_TIMEOUT,
         };
         if silent < bound {
-            return Step::Goes;
+            return Step::Active;
         }
         let spec = &self.submission.items[self.item];
         log::info!(item:% = spec.id, target_name:% = self.target, silent_ms = silent.0, head = self.head_read; "run stalled");
@@ -362,26 +362,26 @@
     fn check_move(&self, shared: &Shared, batch: &Batch, now: Millis) -> Option<Move> {
         let fleet = shared.fleet();
         let view = RunView {
-            begun: self.head_read,
-            silent: now - self.heard,
+            answering: self.head_read,
+            silent: now - self.last_data,
             pace: self.pace,
-            usual_ms: fleet.usual_pace(&self.service, now),
+            median_ms: fleet.median_pace(&self.service, now),
             moves: batch.items[self.item].moves,
         };
         let reason = decide_move(&view)?;
         let min_version = self.submission.min_version;
         let assigned = HashMap::new();
-        let besides = Some(&self.target);
+        let excluded = Some(&self.target);
         let other = fleet.place(
             &self.service,
             &self.model,
             min_version,
             &assigned,
-            besides,
+            excluded,
             now,
         )?;
-        let known = other.pace.zip(view.usual_ms);
-        let faster = known.is_none_or(|(pace, usual)| pace < usual * FASTER_FACTOR);
+        let paces = other.pace.zip(view.median_ms);
+        let faster = paces.is_none_or(|(pace, median)| pace < median * MOVE_PACE_FACTOR);
         (faster && !self.submission.single_version).then_some(reason)
     }
 
@@ -427,7 +427,7 @@
 
     fn done(&mut self, shared: &Shared, batch: &mut Batch, now: Millis) -> Step {
         let Some(head) = self.exchange.head() else {
-            return Step::Goes;
+            return Step::Active;
         };
         let (status, reply) = (head.status, shared.dialect.reply(head));
         let failed = |failure, outcome| Step::Ended(RunEnd::Failed(failure, outcome));
@@ -469,7 +469,7 @@
                 let finished = batch.finish(self.item, true);
                 log::info!(
                     batch:% = self.submission.id, item:% = spec.id, target_name:% = self.target,
-                    took_ms, events, moves, between_ms = self.pace.between_ms,
+                    took_ms, events, moves, between_ms = self.pace.interval_ms,
                     versions:? = finished.result.versions;
                     "item completed"
                 );
--- a/crates/godwitspool-host/src/batch/state.rs
+++ b/crates/godwitspool-host/src/batch/state.rs
@@ -7,21 +7,21 @@
 
 /// Pause before an item is tried again after its target failed it; a target that refuses for lack
 /// of room pauses itself.
-const RETRY_PAUSE: Millis = Millis(100);
+const RETRY_BACKOFF: Millis = Millis(100);
 /// Broken runs in a row without an event after which an item may be what crashes its targets.
-const FRUITLESS_MAX: u32 = 3;
+const MAX_EMPTY_RUNS: u32 = 3;
 /// Pause of such an item, doubled with each further run. Below the 5 s without a run after which the
 /// platform's rules count an item as forgotten, and long beside the second that a target takes to
 /// come back.
-const SUSPECT_PAUSE: Millis = Millis(4_500);
+const SUSPECT_BACKOFF: Millis = Millis(4_500);
 /// Doublings after which the pause stays.
-const DOUBLINGS_MAX: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 /// Rejections of an item after which it is given up: one says that it can never be done.
-const REJECTIONS_MAX: u32 = 1;
+const MAX_REJECTIONS: u32 = 1;
 
 /// What an item has generated so far.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Progress {
+pub struct ItemProgress {
     /// Data of the events, one a line.
     pub text: Vec<u8>,
     /// Number of the last event.
@@ -32,7 +32,7 @@
     pub version: Option<u64>,
 }
 
-impl Progress {
+impl ItemProgress {
     /// Adds an event.
     pub fn push(&mut self, number: u64, data: &[u8]) {
         if self.last_event.is_some() {
@@ -80,33 +80,33 @@
     /// Runs that the target rejected for good.
     pub rejections: u32,
     /// Broken runs in a row that generated nothing.
-    pub fruitless: u32,
+    pub empty_runs: u32,
     /// Runs that were moved to another target.
     pub moves: u32,
     /// What was generated so far.
-    pub progress: Progress,
+    pub progress: ItemProgress,
     /// Number of the last event that a record of the store holds, or may hold.
-    pub saved: Option<u64>,
+    pub saved_event: Option<u64>,
     /// Number of the last event when a run broke last.
-    broke_after: Option<u64>,
+    break_event: Option<u64>,
 }
 
 impl Item {
     /// Tells whether so many events more than the store holds were generated.
-    pub fn is_unsaved(&self, events: u64) -> bool {
+    pub fn has_unsaved(&self, events: u64) -> bool {
         let known = self.progress.last_event.unwrap_or_default();
-        self.state != ItemState::Done && known >= self.saved.unwrap_or_default() + events
+        self.state != ItemState::Done && known >= self.saved_event.unwrap_or_default() + events
     }
 
     /// Counts a broken run.
-    fn note_break(&mut self) {
+    fn record_break(&mut self) {
         let last = self.progress.last_event;
-        self.fruitless = if last == self.broke_after {
-            self.fruitless + 1
+        self.empty_runs = if last == self.break_event {
+            self.empty_runs + 1
         } else {
             0
         };
-        self.broke_after = last;
+        self.break_event = last;
     }
 }
 
@@ -181,12 +181,12 @@
                 not_before: Millis::ZERO,
             },
             failures: 0,
-            fruitless: 0,
+            empty_runs: 0,
             rejections: 0,
             moves: 0,
-            progress: Progress::default(),
-            saved: None,
-            broke_after: None,
+            progress: ItemProgress::default(),
+            saved_event: None,
+            break_event: None,
         };
         let mut items = vec![waiting; submission.items.len()];
         for result in &results {
@@ -204,10 +204,10 @@
     }
 
     /// Takes over what an earlier owner has saved of an item.
-    pub fn resume(&mut self, item: u32, progress: Progress) {
+    pub fn resume(&mut self, item: u32, progress: ItemProgress) {
         let item = self.items.get_mut(item as usize);
         if let Some(item) = item.filter(|item| item.progress.last_event.is_none()) {
-            item.saved = progress.last_event;
+            item.saved_event = progress.last_event;
             if item.state != ItemState::Done {
                 item.progress = progress;
             }
@@ -248,22 +248,22 @@
         match failure {
             RunFailure::Failed => item.failures += 1,
             RunFailure::Rejected => item.rejections += 1,
-            RunFailure::Unusable => item.progress = Progress::default(),
+            RunFailure::Unusable => item.progress = ItemProgress::default(),
             RunFailure::Moved => item.moves += 1,
-            RunFailure::Broken => item.note_break(),
+            RunFailure::Broken => item.record_break(),
             RunFailure::NotRun => {}
         }
-        if item.failures >= attempts || item.rejections >= REJECTIONS_MAX {
+        if item.failures >= attempts || item.rejections >= MAX_REJECTIONS {
             item.state = ItemState::Done;
             return Verdict::GiveUp;
         }
         let pause = match failure {
             RunFailure::Moved | RunFailure::NotRun => Millis::ZERO,
-            RunFailure::Broken if item.fruitless >= FRUITLESS_MAX => {
-                let doublings = (item.fruitless - FRUITLESS_MAX).min(DOUBLINGS_MAX);
-                Millis(SUSPECT_PAUSE.0 << doublings)
+            RunFailure::Broken if item.empty_runs >= MAX_EMPTY_RUNS => {
+                let doublings = (item.empty_runs - MAX_EMPTY_RUNS).min(MAX_DOUBLINGS);
+                Millis(SUSPECT_BACKOFF.0 << doublings)
             }
-            _ => RETRY_PAUSE,
+            _ => RETRY_BACKOFF,
         };
         item.state = ItemState::Waiting {
             not_before: now + pause,
--- a/crates/godwitspool-host/src/batch/stored_results.rs
+++ b/crates/godwitspool-host/src/batch/stored_results.rs
@@ -3,15 +3,15 @@
     sync::Arc,
 };
 
-use super::{BatchRecord, ItemResult, Progress};
+use super::{BatchRecord, ItemProgress, ItemResult};
 use crate::store::StoredRecord;
 
 /// Results and progress of batches, put together from a partition's records.
 #[derive(Debug, Default)]
 pub struct StoredResults {
-    progress: HashMap<String, Vec<(u32, Progress)>>,
+    progress: HashMap<String, Vec<(u32, ItemProgress)>>,
     results: HashMap<String, BTreeMap<u64, Arc<ItemResult>>>,
-    parts: HashMap<(String, u64), BTreeMap<u32, Vec<u8>>>,
+    chunks: HashMap<(String, u64), BTreeMap<u32, Vec<u8>>>,
 }
 
 impl StoredResults {
@@ -44,29 +44,29 @@
                 position,
                 result,
             } => self.put(batch, position, result),
-            BatchRecord::ResultPart {
+            BatchRecord::ResultChunk {
                 batch,
                 position,
                 index,
-                parts,
+                chunk_count,
                 bytes,
             } => {
-                let place = (batch, position);
-                let known = self.parts.entry(place.clone()).or_default();
-                known.insert(index, bytes);
-                if known.len() == parts as usize {
-                    let known = self.parts.remove(&place).unwrap_or_default();
-                    let bytes: Vec<u8> = known.into_values().flatten().collect();
+                let key = (batch, position);
+                let chunks = self.chunks.entry(key.clone()).or_default();
+                chunks.insert(index, bytes);
+                if chunks.len() == chunk_count as usize {
+                    let chunks = self.chunks.remove(&key).unwrap_or_default();
+                    let bytes: Vec<u8> = chunks.into_values().flatten().collect();
                     let result = postcard::from_bytes(&bytes);
                     let result = result
-                        .map_err(|error| format!("result {position} of {}: {error}", place.0))?;
-                    self.put(place.0, position, result);
+                        .map_err(|error| format!("result {position} of {}: {error}", key.0))?;
+                    self.put(key.0, position, result);
                 }
             }
             BatchRecord::End { .. }
-            | BatchRecord::Part { .. }
+            | BatchRecord::Chunk { .. }
             | BatchRecord::Removed { .. }
-            | BatchRecord::Whole { .. } => {}
+            | BatchRecord::Commit { .. } => {}
         }
         Ok(())
     }
@@ -86,7 +86,7 @@
     }
 
     /// Takes out what was saved of a batch's items.
-    pub fn take_progress(&mut self, batch: &str) -> Vec<(u32, Progress)> {
+    pub fn take_progress(&mut self, batch: &str) -> Vec<(u32, ItemProgress)> {
         self.progress.remove(batch).unwrap_or_default()
     }
 }
--- a/crates/godwitspool-host/src/duty/loads.rs
+++ b/crates/godwitspool-host/src/duty/loads.rs
@@ -13,9 +13,9 @@
 /// Targets for one load at a time; with more loads at once each takes longer.
 const TARGETS_PER_LOAD: usize = 5;
 /// Loads at once that never slow each other.
-const LOADS_LEAST: usize = 2;
+const MIN_CONCURRENT_LOADS: usize = 2;
 /// A target that failed so often in a row isn't reached and isn't waited for.
-const FAILURES_MAX: u32 = 2;
+const MAX_FAILURES: u32 = 2;
 
 /// A load that was ordered.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -76,31 +76,34 @@
 /// first, with targets of other models if need be.
 pub fn plan_loads(view: &LoadView<'_>) -> Vec<LoadOrder> {
     let now = view.now;
-    let most = (view.targets.len() / TARGETS_PER_LOAD).max(LOADS_LEAST);
-    let busy = view
+    let max_loads = (view.targets.len() / TARGETS_PER_LOAD).max(MIN_CONCURRENT_LOADS);
+    let in_progress = view
         .loading
         .values()
         .filter(|load| now - load.since < LOAD_TIME)
         .count();
-    let room = most.saturating_sub(busy);
-    if room == 0 {
+    let available = max_loads.saturating_sub(in_progress);
+    if available == 0 {
         return Vec::new();
     }
     let mut models: Vec<&ModelName> = view.newest_versions.keys().collect();
     models.sort();
-    let reached = |target: &&&Target| target.failures < FAILURES_MAX;
-    let share = view.targets.iter().filter(reached).count() / models.len().max(1);
-    let mut wanted: Vec<(Need, u64, &TargetName, &ModelName)> = Vec::new();
+    let is_reachable = |target: &&&Target| target.failures < MAX_FAILURES;
+    let share = view.targets.iter().filter(is_reachable).count() / models.len().max(1);
+    let mut candidates: Vec<(Need, u64, &TargetName, &ModelName)> = Vec::new();
     for model in models {
         let newest = view.newest_versions[model];
         let versions: Vec<(&Target, u64)> = view
             .targets
             .iter()
-            .filter(reached)
+            .filter(is_reachable)
             .map(|target| (*target, view.expected(target, model)))
             .collect();
-        let at_least = |least: u64| versions.iter().filter(|(_, at)| *at >= least).count();
-        let (valid, fresh) = (at_least(newest.saturating_sub(1)), at_least(newest));
+        let count_at_least = |least: u64| versions.iter().filter(|(_, at)| *at >= least).count();
+        let (usable, up_to_date) = (
+            count_at_least(newest.saturating_sub(1)),
+            count_at_least(newest),
+        );
         let half = share.div_ceil(2).max(1);
         let own = |target: &Target| view.assigned.get(&target.entry.name) == Some(model);
         // The most outdated first; those that run least lose least.
@@ -111,9 +114,9 @@
         behind.sort_by_key(|(target, at)| (!own(target), *at, target.total_running(now)));
         for (rank, (target, at)) in behind.into_iter().enumerate() {
             let own = own(target);
-            let need = if valid + rank < half.min(2) {
+            let need = if usable + rank < half.min(2) {
                 Need::Short
-            } else if own && fresh + rank < half {
+            } else if own && up_to_date + rank < half {
                 Need::Next
             } else if own && at + 1 < newest {
                 Need::Behind
@@ -122,12 +125,12 @@
             } else {
                 continue;
             };
-            wanted.push((need, newest - at, &target.entry.name, model));
+            candidates.push((need, newest - at, &target.entry.name, model));
         }
     }
-    wanted.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)).then(a.2.cmp(b.2)));
+    candidates.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(&a.1)).then(a.2.cmp(b.2)));
     let mut taken = HashSet::new();
-    let orders = wanted
+    let orders = candidates
         .into_iter()
         .filter(|(_, _, target, _)| taken.insert(*target));
     let orders = orders.filter_map(|(_, _, name, model)| {
@@ -143,7 +146,7 @@
             mode: view.mode,
         })
     });
-    orders.take(room).collect()
+    orders.take(available).collect()
 }
 
 impl LoadView<'_> {
--- a/crates/godwitspool-host/src/version/fleet.rs
+++ b/crates/godwitspool-host/src/version/fleet.rs
@@ -6,32 +6,32 @@
 use godwitspool_types::{Dc, Millis, ModelName, ServiceName, TargetName};
 use rapidhash::v3::rapidhash_v3;
 
-use crate::{batch::usual_pace, process::RunReport};
+use crate::{batch::median_pace, process::RunReport};
 
 /// Time that a target needs to load a version, as a rule: the operators' sheets say 0.9 s, and the
 /// order and its notice take some of the rest. Loads that overlap more than planned take longer.
 pub const LOAD_TIME: Millis = Millis(1_000);
 /// A load whose effect no entry or answer has shown after so long is taken as not carried out.
-const LOAD_AGE: Millis = Millis(4_000);
+const LOAD_TIMEOUT: Millis = Millis(4_000);
 /// First pause of a target that failed; doubles with each further failure.
-const PAUSE_FIRST: Millis = Millis(250);
+const MIN_FAILURE_BACKOFF: Millis = Millis(250);
 /// Longest pause of a target that failed: about the time in which a crashed one is back.
-const PAUSE_MAX: Millis = Millis(2_000);
+const MAX_FAILURE_BACKOFF: Millis = Millis(2_000);
 /// Pause of a target that said that it has no room or is loading weights. Loads take about a second.
-const PAUSE_REFUSED: Millis = Millis(150);
+const REFUSED_BACKOFF: Millis = Millis(150);
 /// Pause of a target that fell silent, at least the rest of a load of weights.
-const PAUSE_STALLED: Millis = Millis(400);
+const STALLED_BACKOFF: Millis = Millis(400);
 /// Weight of the newest answer in a target's smoothed time, as in TCP's round-trip estimate.
-const SMOOTHING: f64 = 0.125;
+const LATENCY_SMOOTHING: f64 = 0.125;
 /// Assumed time of a target that has answered nothing yet, in milliseconds.
-const TIME_UNKNOWN: f64 = 20.0;
+const INITIAL_LATENCY_MS: f64 = 20.0;
 /// How long the number of a host's newest report is kept.
-const REPORT_MEMORY: Millis = Millis(60_000);
+const REPORT_RETENTION: Millis = Millis(60_000);
 /// What another host told of its runs is forgotten after this time without news.
-const REPORT_AGE: Millis = Millis(500);
+const MAX_REPORT_AGE: Millis = Millis(500);
 /// A target's pace is forgotten after this time without news, so that one that was slow is tried
 /// again.
-const PACE_AGE: Millis = Millis(3_000);
+const MAX_PACE_AGE: Millis = Millis(3_000);
 /// A target this much slower than usual gets no items while others can take them.
 const SLOW_FACTOR: f64 = 1.6;
 /// Weight of the newest time between events in a target's pace.
@@ -84,17 +84,17 @@
     /// Requests of this host that run there.
     pub running: u32,
     /// Requests of other hosts that run there, by host, and when each told.
-    pub others: HashMap<u32, (u32, Millis)>,
+    pub remote_running: HashMap<u32, (u32, Millis)>,
     /// Failures in a row.
     pub failures: u32,
     /// Not chosen before this time unless nothing else is left.
     pub paused_until: Millis,
     /// Smoothed time of its answers in milliseconds.
-    pub time_ms: f64,
+    pub latency_ms: f64,
     /// Smoothed time between a stream's events in milliseconds, and when it was learnt.
     pub pace: Option<(f64, Millis)>,
     /// A load that it began: model, version, and when.
-    pub load: Option<(ModelName, u64, Millis)>,
+    pub loading: Option<(ModelName, u64, Millis)>,
     /// Removed at this time, while its entry may still come back.
     pub lapsed: Option<Millis>,
 }
@@ -123,21 +123,23 @@
 impl Target {
     /// Returns the version of a model with which it serves now; `None` while it loads one.
     fn version(&self, model: &ModelName, now: Millis) -> Option<(u64, bool)> {
-        let told = self.entry.models.get(model).copied().unwrap_or_default();
-        match &self.load {
-            Some((of, version, at)) if of == model && *version > told && now - *at < LOAD_AGE => {
+        let confirmed = self.entry.models.get(model).copied().unwrap_or_default();
+        match &self.loading {
+            Some((of, version, at))
+                if of == model && *version > confirmed && now - *at < LOAD_TIMEOUT =>
+            {
                 (now - *at >= LOAD_TIME).then_some((*version, true))
             }
-            _ => Some((told, false)),
+            _ => Some((confirmed, false)),
         }
     }
 
     /// Returns the requests that run there, those of other hosts included.
     pub fn total_running(&self, now: Millis) -> u32 {
         let others = self
-            .others
+            .remote_running
             .values()
-            .filter(|(_, at)| now - *at < REPORT_AGE);
+            .filter(|(_, at)| now - *at < MAX_REPORT_AGE);
         self.running + others.map(|(count, _)| count).sum::<u32>()
     }
 }
@@ -160,12 +162,12 @@
             _ => {
                 let target = Target {
                     running: self.targets.get(&entry.name).map_or(0, |old| old.running),
-                    others: HashMap::new(),
+                    remote_running: HashMap::new(),
                     failures: 0,
                     paused_until: Millis::default(),
-                    time_ms: TIME_UNKNOWN,
+                    latency_ms: INITIAL_LATENCY_MS,
                     pace: None,
-                    load: None,
+                    loading: None,
                     lapsed: None,
                     entry,
                 };
@@ -177,9 +179,9 @@
 
     /// Removes a target. One whose entry may have lapsed only because the store was away is kept
     /// until [`Self::expire`].
-    pub fn remove(&mut self, name: &TargetName, now: Millis, store_was_away: bool) {
+    pub fn remove(&mut self, name: &TargetName, now: Millis, store_unavailable: bool) {
         match self.targets.get_mut(name) {
-            Some(target) if store_was_away && !target.entry.draining => {
+            Some(target) if store_unavailable && !target.entry.draining => {
                 target.lapsed.get_or_insert(now);
             }
             _ => {
@@ -190,11 +192,11 @@
 
     /// Drops targets whose entries haven't come back.
     pub fn expire(&mut self, now: Millis) -> Vec<TargetName> {
-        let is_over = |target: &Target| target.lapsed.is_some_and(|at| now >= at + LAPSE_GRACE);
+        let is_expired = |target: &Target| target.lapsed.is_some_and(|at| now >= at + LAPSE_GRACE);
         let gone: Vec<TargetName> = self
             .targets
             .values()
-            .filter(|target| is_over(target))
+            .filter(|target| is_expired(target))
             .map(|target| target.entry.name.clone())
             .collect();
         for name in &gone {
@@ -235,16 +237,16 @@
             Outcome::Answered(ms) => {
                 target.failures = 0;
                 target.paused_until = Millis::default();
-                target.time_ms += SMOOTHING * (ms - target.time_ms);
+                target.latency_ms += LATENCY_SMOOTHING * (ms - target.latency_ms);
             }
             Outcome::Dropped => {}
-            Outcome::Stalled => target.paused_until = now + PAUSE_STALLED,
+            Outcome::Stalled => target.paused_until = now + STALLED_BACKOFF,
             Outcome::Failed => {
-                let pause = PAUSE_FIRST.0 << target.failures.min(3);
+                let pause = MIN_FAILURE_BACKOFF.0 << target.failures.min(3);
                 target.failures += 1;
-                target.paused_until = now + Millis(pause).min(PAUSE_MAX);
+                target.paused_until = now + Millis(pause).min(MAX_FAILURE_BACKOFF);
             }
-            Outcome::Refused => target.paused_until = now + PAUSE_REFUSED,
+            Outcome::Refused => target.paused_until = now + REFUSED_BACKOFF,
         }
     }
 
@@ -265,15 +267,15 @@
         now: Millis,
     ) -> Option<&Target> {
         let usable = self.usable(service);
-        let fresh = usable
+        let candidates = usable
             .into_iter()
             .filter(|target| !tried.contains(&target.entry.name));
-        fresh.min_by(|a, b| {
+        candidates.min_by(|a, b| {
             let rank = |target: &Target| {
                 let paused = target.paused_until > now;
                 let load = f64::from(target.running) / f64::from(target.entry.slots.max(1));
-                let far = if target.entry.dc == *dc { 1.0 } else { 1.5 };
-                (paused, target.time_ms * (1.0 + load) * far)
+                let distance = if target.entry.dc == *dc { 1.0 } else { 1.5 };
+                (paused, target.latency_ms * (1.0 + load) * distance)
             };
             let (a, b) = (rank(a), rank(b));
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
@@ -283,7 +285,7 @@
     /// Takes over that a target has begun to load a version.
     pub fn begin_load(&mut self, name: &TargetName, model: &ModelName, version: u64, now: Millis) {
         if let Some(target) = self.targets.get_mut(name) {
-            target.load = Some((model.clone(), version, now));
+            target.loading = Some((model.clone(), version, now));
         }
     }
 
@@ -293,34 +295,36 @@
         if newest.is_some_and(|newest| newest > report.number) {
             return;
         }
-        self.reports.retain(|_, (_, at)| now - *at < REPORT_MEMORY);
+        self.reports
+            .retain(|_, (_, at)| now - *at < REPORT_RETENTION);
         self.reports.insert(report.sender, (report.number, now));
         for target in self.targets.values_mut() {
-            target.others.remove(&report.sender);
+            target.remote_running.remove(&report.sender);
         }
         for (name, count) in &report.running {
             if let Some(target) = self.targets.get_mut(name) {
-                target.others.insert(report.sender, (*count, now));
+                target.remote_running.insert(report.sender, (*count, now));
             }
         }
     }
 
     /// Takes over the time between two events of a stream.
-    pub fn record_pace(&mut self, name: &TargetName, between_ms: f64, now: Millis) {
+    pub fn record_pace(&mut self, name: &TargetName, interval_ms: f64, now: Millis) {
         if let Some(target) = self.targets.get_mut(name) {
-            let known = target.pace.filter(|(_, at)| now - *at < PACE_AGE);
-            let pace = known.map_or(between_ms, |(pace, _)| {
-                pace + PACE_SMOOTHING * (between_ms - pace)
+            let known = target.pace.filter(|(_, at)| now - *at < MAX_PACE_AGE);
+            let pace = known.map_or(interval_ms, |(pace, _)| {
+                pace + PACE_SMOOTHING * (interval_ms - pace)
             });
             target.pace = Some((pace, now));
         }
     }
 
     /// Returns the usual time between events at a service's targets, in milliseconds.
-    pub fn usual_pace(&self, service: &ServiceName, now: Millis) -> Option<f64> {
+    pub fn median_pace(&self, service: &ServiceName, now: Millis) -> Option<f64> {
         let usable = self.usable(service).into_iter();
-        let fresh = usable.filter_map(|target| target.pace.filter(|(_, at)| now - *at < PACE_AGE));
-        usual_pace(fresh.map(|(pace, _)| pace).collect())
+        let candidates =
+            usable.filter_map(|target| target.pace.filter(|(_, at)| now - *at < MAX_PACE_AGE));
+        median_pace(candidates.map(|(pace, _)| pace).collect())
     }
 
     /// Chooses the target for an item of a batch: one whose version fits, with a free place, of
@@ -334,19 +338,19 @@
         model: &ModelName,
         min_version: u64,
         assigned: &HashMap<TargetName, ModelName>,
-        besides: Option<&TargetName>,
+        excluded: Option<&TargetName>,
         now: Millis,
     ) -> Option<Placement> {
-        let usual = self.usual_pace(service, now);
+        let median = self.median_pace(service, now);
         let fitting = self.usable(service).into_iter().filter_map(|target| {
             let (version, expected) = target.version(model, now)?;
             let fits = version >= min_version
-                && Some(&target.entry.name) != besides
+                && Some(&target.entry.name) != excluded
                 && target.paused_until <= now
                 && target.total_running(now) < target.entry.slots;
             let pace = target
                 .pace
-                .filter(|(_, at)| now - *at < PACE_AGE)
+                .filter(|(_, at)| now - *at < MAX_PACE_AGE)
                 .map(|(pace, _)| pace);
             fits.then_some((target, expected.then_some(version), pace))
         });
@@ -354,8 +358,8 @@
             let own = assigned.get(&target.entry.name) == Some(model);
             let load = target.total_running(now) * 100 / target.entry.slots.max(1);
             let slow = pace
-                .zip(usual)
-                .is_some_and(|(pace, usual)| pace > usual * SLOW_FACTOR);
+                .zip(median)
+                .is_some_and(|(pace, median)| pace > median * SLOW_FACTOR);
             (slow, !own, load)
         });
         best.map(|(target, expected, pace)| Placement {
--- a/crates/godwitspool-host/tests/batches.rs
+++ b/crates/godwitspool-host/tests/batches.rs
@@ -12,8 +12,8 @@
 use godwitspool_host::{
     StoreBounds,
     batch::{
-        Batch, BatchRecord, BatchRegistry, Finished, ItemResult, ItemSpec, ItemState, Lookup, Move,
-        Pace, Progress, RunFailure, RunView, StoredResults, Submission, Verdict, decide_move,
+        Batch, BatchRecord, BatchRegistry, Finished, ItemProgress, ItemResult, ItemSpec, ItemState,
+        Lookup, Move, Pace, RunFailure, RunView, StoredResults, Submission, Verdict, decide_move,
         order_items, partition_of,
     },
     store::{Record, StoredRecord},
@@ -102,10 +102,10 @@
         left -= 1;
         pace.push(1, Millis(slow));
         let run = RunView {
-            begun: true,
+            answering: true,
             silent: Millis(0),
             pace,
-            usual_ms: Some(usual as f64),
+            median_ms: Some(usual as f64),
             moves: 0,
         };
         if decide_move(&run) == Some(Move::Slow) {
@@ -121,11 +121,11 @@
 }
 
 #[rstest]
-#[case(RunView { begun: true, silent: Millis(300), pace: Pace { between_ms: 40.0, events: 9 }, usual_ms: Some(40.0), moves: 0 }, None)]
-#[case(RunView { begun: true, silent: Millis(900), pace: Pace { between_ms: 40.0, events: 9 }, usual_ms: Some(40.0), moves: 0 }, Some(Move::Silent))]
-#[case(RunView { begun: true, silent: Millis(900), pace: Pace { between_ms: 40.0, events: 9 }, usual_ms: Some(40.0), moves: 1 }, None)]
-#[case(RunView { begun: false, silent: Millis(900), pace: Pace::default(), usual_ms: Some(40.0), moves: 0 }, Some(Move::Queued))]
-#[case(RunView { begun: true, silent: Millis(9_000), pace: Pace::default(), usual_ms: None, moves: 9 }, None)]
+#[case(RunView { answering: true, silent: Millis(300), pace: Pace { interval_ms: 40.0, events: 9 }, median_ms: Some(40.0), moves: 0 }, None)]
+#[case(RunView { answering: true, silent: Millis(900), pace: Pace { interval_ms: 40.0, events: 9 }, median_ms: Some(40.0), moves: 0 }, Some(Move::Silent))]
+#[case(RunView { answering: true, silent: Millis(900), pace: Pace { interval_ms: 40.0, events: 9 }, median_ms: Some(40.0), moves: 1 }, None)]
+#[case(RunView { answering: false, silent: Millis(900), pace: Pace::default(), median_ms: Some(40.0), moves: 0 }, Some(Move::Queued))]
+#[case(RunView { answering: true, silent: Millis(9_000), pace: Pace::default(), median_ms: None, moves: 9 }, None)]
 fn moves_follow_silence_queue_and_pace(#[case] run: RunView, #[case] expected: Option<Move>) {
     assert_eq!(decide_move(&run), expected);
 }
@@ -195,8 +195,8 @@
         assert!(whole.is_none(), "the closing record comes last");
         let offset = offset as u64;
         match BatchRecord::read(StoredRecord { offset, record }).unwrap() {
-            BatchRecord::Part { bytes: part, .. } => bytes.extend(part),
-            BatchRecord::Whole { parts, .. } => whole = Some(parts),
+            BatchRecord::Chunk { bytes: part, .. } => bytes.extend(part),
+            BatchRecord::Commit { chunk_count, .. } => whole = Some(chunk_count),
             other => panic!("{other:?}"),
         }
     }
@@ -224,9 +224,9 @@
         Lookup::Found(page) => page.results.len(),
         other => panic!("{other:?}"),
     };
-    registry.list(part, 6, std::slice::from_ref(&finished));
+    registry.publish_results(part, 6, std::slice::from_ref(&finished));
     assert_eq!(read(), 0, "an earlier owner's results aren't taken over");
-    registry.list(part, 7, std::slice::from_ref(&finished));
+    registry.publish_results(part, 7, std::slice::from_ref(&finished));
     assert_eq!(read(), 1);
     registry.close(part, 6);
     assert_eq!(
@@ -273,10 +273,10 @@
 }
 
 /// Returns what an item has generated after so many events.
-fn progress(events: u64) -> Progress {
-    let mut progress = Progress {
+fn progress(events: u64) -> ItemProgress {
+    let mut progress = ItemProgress {
         version: Some(3),
-        ..Progress::default()
+        ..ItemProgress::default()
     };
     for number in 1..=events {
         progress.push(number, format!("e{number}").as_bytes());
