--- a/crates/godwitspool-host/src/batch/mod.rs
+++ b/crates/godwitspool-host/src/batch/mod.rs
@@ -1,8 +1,9 @@
-//! Batches: submitted once, run later, readable in fixed positions.
+//! Batches of requests that are submitted once and run in the background. Each result keeps its
+//! position, so callers can read results page by page.
 //!
-//! A batch lies whole in a partition of the store before it is accepted, so any host accepts it.
-//! One host at a time owns the partition of its results: it runs the items and appends each result
-//! under its epoch before the result is shown.
+//! A batch is stored completely in a partition of the store before it is accepted, so any host can
+//! accept it. One host at a time owns the partition: it runs the items, and appends each result
+//! under its epoch before callers can read the result.
 
 mod order;
 mod owner;
@@ -34,78 +35,79 @@
 pub struct Submission {
     /// Identifier of the batch.
     pub id: String,
-    /// Whose batch it is.
+    /// Workspace of the caller that submitted it.
     pub workspace: Workspace,
-    /// Host of its route.
+    /// Host of the route to which it was submitted.
     pub host: String,
-    /// Prefix of its route.
+    /// Path prefix of that route.
     pub prefix: String,
-    /// Its model.
+    /// Model that must serve the items.
     pub model: ModelName,
-    /// The trainer's step.
+    /// Number of the trainer's step.
     pub step: u64,
-    /// Oldest version of the model that may serve.
+    /// Oldest version of the model that may serve an item.
     pub min_version: u64,
-    /// Whole groups that the trainer waits for.
+    /// Number of complete groups that the trainer waits for.
     pub wanted_groups: u32,
-    /// When it was submitted, in milliseconds from 1970.
+    /// When it was submitted, in milliseconds since 1970.
     pub received_ms: u64,
-    /// How long its items must be tried, in milliseconds.
+    /// How long its items must be retried, in milliseconds.
     pub retention_ms: u64,
-    /// When its results are due after the submission, in milliseconds.
+    /// Time from the submission until its results are due, in milliseconds.
     pub due_ms: u64,
-    /// Failed runs after which an item is given up.
+    /// Number of failed runs after which an item ends without a result.
     pub attempts: u32,
-    /// Whether a result may hold tokens of one version only.
+    /// Whether all tokens of a result must come from one version of the model.
     pub single_version: bool,
-    /// The items.
+    /// The items, in the order of the submission.
     pub items: Vec<ItemSpec>,
 }
 
-/// A request of a batch.
+/// An item: one request of a batch.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ItemSpec {
-    /// Identifier.
+    /// Identifier of the item within the batch; also the identifier of its request.
     pub id: String,
-    /// Path at the target.
+    /// Path of the request.
     pub path: String,
-    /// Header fields.
+    /// Names and values of the request's header fields.
     pub headers: Vec<(String, String)>,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Items of a group share their prompt and count only together.
+    /// Name of its group. Items of a group share a prompt, and the trainer uses only complete
+    /// groups.
     pub group: String,
-    /// The caller's estimate of the tokens that are generated.
+    /// The caller's estimate of the number of generated tokens, if it gave one.
     pub hint: Option<u64>,
-    /// Prompt's tokens and the most that may be generated.
+    /// Tokens of the prompt plus the maximum number of generated tokens.
     pub tokens: u64,
 }
 
-/// Result of an item.
+/// The result of an item.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ItemResult {
-    /// The item's index in its batch.
+    /// Index of the item in its batch.
     pub item: u32,
-    /// Whether the output is whole; otherwise the item was given up.
+    /// Whether the output is complete. Otherwise the item failed for good and has no output.
     pub completed: bool,
-    /// Data of all events, one a line.
+    /// Data of all events, joined with line feeds.
     pub output: Vec<u8>,
-    /// Versions of the model that generated it, ascending.
+    /// Versions of the model that generated the output, in ascending order.
     pub versions: Vec<u64>,
 }
 
-/// Results as a caller reads them.
+/// A page of a batch's results.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ResultPage {
-    /// Items of the batch.
+    /// Number of items of the batch.
     pub total: usize,
-    /// Position behind the last result of this page.
+    /// Position of the first result after this page.
     pub next: u64,
-    /// Identifier and result of each position.
+    /// Identifier and result of each item of the page, ordered by position.
     pub results: Vec<(String, std::sync::Arc<ItemResult>)>,
 }
 
-/// Returns the items of each group, in the order of the batch.
+/// Returns the indexes of each group's items, in the order of the batch.
 pub fn groups(items: &[ItemSpec]) -> HashMap<&str, Vec<usize>> {
     let mut groups: HashMap<&str, Vec<usize>> = HashMap::new();
     for (index, item) in items.iter().enumerate() {
--- a/crates/godwitspool-host/src/batch/order.rs
+++ b/crates/godwitspool-host/src/batch/order.rs
@@ -1,9 +1,9 @@
 use super::{Submission, groups};
 
-/// Estimate for an item without a hint, as a share of the most that it may generate.
+/// Estimated length of an item without a hint, as a share of [`super::ItemSpec::tokens`].
 const UNHINTED_SHARE: f64 = 0.25;
 
-/// Returns the tokens that an item is expected to take.
+/// Returns the number of tokens that an item is expected to generate.
 pub fn predicted_tokens(submission: &Submission, item: usize) -> u64 {
     let item = &submission.items[item];
     let most = item.tokens as f64;
@@ -12,11 +12,12 @@
 
 /// Returns the order in which a batch's items start.
 ///
-/// Load pattern: more items than places, of which the trainer waits for a share of the groups only,
-/// and lengths with a heavy tail. A group counts when its longest item is done, so the groups that
-/// are expected to be longest, beyond the wanted number, come last; among the wanted ones the
-/// longest start first, so that none is left alone at the end. Items of a group stay beside each
-/// other, which lets them share their prompt.
+/// Load pattern: a batch has more items than there are free slots, lengths have a heavy tail, and
+/// the trainer waits for a share of the groups only. A group is complete when its longest item is
+/// done. The groups with the shortest longest item fill the wanted number; the others start after
+/// them. Among the wanted groups the longest start first, so that no long item is left running
+/// alone at the end. Items of a group start next to each other, so that targets can reuse their
+/// prompt.
 ///
 /// ```
 /// use godwitspool_host::batch::{ItemSpec, Submission, order_items};
--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -20,30 +20,31 @@
     store::{Store, StoreError, StoredRecord, Topic, Writer, read_all},
 };
 
-/// Longest wait for a new batch in one read: an answer that is lost delays a batch by so much.
+/// Maximum wait for new batches in one read. A lost answer delays a batch by this time.
 const MAX_READ_WAIT: Duration = Duration::from_secs(1);
-/// Results that end within this time share an append; small beside the seconds in which a step's
-/// results are due, and it bounds the writes of a partition to 25 a second.
+/// Maximum time that a result waits for others to share its append. It is short compared with the
+/// seconds within which the results of a step are due, and limits a partition to 25 appends per
+/// second.
 const MAX_GROUP_DELAY: Duration = Duration::from_millis(40);
-/// Time that a batch is kept beyond the time for which it must stay readable, so that hosts whose
-/// clocks differ by seconds agree.
+/// Time for which a batch is kept after its TTL. It allows for hosts whose clocks differ by
+/// seconds.
 const TTL_MARGIN: Duration = Duration::from_secs(30);
-/// Time between two looks at batches whose time is over.
+/// Interval between checks for expired batches.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Pauses after a failed call to the store: first, and max_pause.
+/// First and maximum delay before a failed call to the store is retried.
 const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
-/// Longest time in which a partition that is given up writes the results that wait: a few calls to
-/// the store.
+/// Maximum time for which a hand-over waits until queued results are written: a few calls to the
+/// store.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between two looks whether they are written.
+/// Interval between checks whether the results are written.
 const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Stack of the partition's threads.
+/// Stack size of a partition's threads.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Owns a partition of the batches: reads what was accepted, writes results.
+/// Owner of a partition: reads accepted batches, and writes results and removals.
 #[derive(Debug)]
 pub struct Owner {
-    /// Epoch under which the partition is owned.
+    /// Epoch of the ownership, with which results are appended.
     pub epoch: u64,
     task: Arc<Task>,
 }
@@ -55,9 +56,9 @@
     part: u32,
     stopped: AtomicBool,
     store: Arc<dyn Store>,
-    /// Whether a thread writes results.
+    /// Whether the thread that writes results is running.
     writing: AtomicBool,
-    /// How long a batch stays readable.
+    /// How long a batch stays readable after its submission.
     ttl: Duration,
 }
 
@@ -71,12 +72,12 @@
 }
 
 impl Owner {
-    /// Begins to take a partition over, under an epoch that no other owner ever uses; `place` holds
-    /// both.
+    /// Starts to take over a partition. `place` holds its number and the epoch, which no other
+    /// owner may ever use.
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Fails if no thread can be started.
     pub fn start(
         store: Arc<dyn Store>,
         registry: Arc<BatchRegistry>,
@@ -103,13 +104,13 @@
         Ok(Self { epoch, task })
     }
 
-    /// Tells whether the partition was lost to another owner.
+    /// Returns whether another owner has taken over the partition, or this one has closed it.
     pub fn is_lost(&self) -> bool {
         self.task.is_stopped()
     }
 
-    /// Gives the partition up, so that its next owner goes on where this one stops: runs end, what
-    /// they have generated is saved, and results that wait are written. Takes a few calls to the
+    /// Closes the partition so that the next owner can resume its items: stops the runs, saves
+    /// their partial output and waits until queued results are written. Takes a few calls to the
     /// store at most.
     pub fn hand_over(&self) {
         self.task.hand_over();
@@ -184,7 +185,7 @@
                 own.writing.store(false, Ordering::SeqCst);
             });
         if let Err(error) = spawned {
-            log::error!(error:%, partition = part; "no thread for a partition's results");
+            log::error!(error:%, partition = part; "no thread for a partition's results; partition closed");
             self.stop("no thread");
             return;
         }
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Opens the partition unless it was given up meanwhile.
+    /// Opens the partition, unless it was lost or closed in the meantime.
     fn open(&self, batches: Vec<Batch>, sender: Sender<Finished>) {
         self.registry.open(self.part, self.epoch, batches, sender);
         if self.is_stopped() {
@@ -216,7 +217,7 @@
         read_all(self.store.as_ref(), topic, self.part, None, |_| true)
     }
 
-    /// Repeats a call until it succeeds; `None` once the partition is lost or given up.
+    /// Retries a call until it succeeds; returns `None` once the partition is lost or closed.
     fn retry_call<T>(&self, what: &str, call: impl Fn() -> Result<T, StoreError>) -> Option<T> {
         let (mut pause, max_pause) = RETRY_BACKOFF;
         let mut failed = false;
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Removes the records of batches whose time is over.
+    /// Removes the records of expired batches; returns `None` once the partition is lost or closed.
     fn expire(&self, seq: &mut u64) -> Option<()> {
         let ttl = self.ttl + TTL_MARGIN;
         for (submission, results) in self.registry.expired(self.part, unix_ms(), ttl) {
@@ -314,13 +315,13 @@
             *seq += 1;
             let append = || self.store.append(Topic::Batches, self.part, &batch, None);
             self.retry_call("remove batch", append)?;
-            log::info!(batch:% = submission.id, partition = self.part; "batch removed, its time is over");
+            log::info!(batch:% = submission.id, partition = self.part; "batch removed: its TTL is over");
             self.registry.delete_batch(self.part, &submission.id);
         }
         Some(())
     }
 
-    /// Appends results in groups, and lists them once the store holds them.
+    /// Appends results in groups, and publishes each group once the store has confirmed it.
     fn write(&self, receiver: &Receiver<Finished>, mut positions: HashMap<String, u64>) {
         let mut seq = 1;
         loop {
@@ -373,7 +374,7 @@
     }
 }
 
-/// Puts submissions together that lie in several records.
+/// Assembles submissions from their records.
 #[derive(Debug, Default)]
 struct Assembly {
     chunks: HashMap<String, BTreeMap<u32, Vec<u8>>>,
@@ -401,7 +402,7 @@
                     match self.join(&batch, chunk_count) {
                         Ok(submission) => changes.push(Change::Accepted(submission)),
                         Err(reason) => {
-                            log::warn!(partition = part, batch:%, reason:%; "batch left out");
+                            log::warn!(partition = part, batch:%, reason:%; "batch skipped: its submission can't be assembled");
                         }
                     }
                 }
@@ -412,7 +413,9 @@
                     | BatchRecord::Result { .. }
                     | BatchRecord::ResultChunk { .. },
                 ) => {}
-                Err(error) => log::warn!(partition = part, error:%; "batch record left out"),
+                Err(error) => {
+                    log::warn!(partition = part, error:%; "undecodable batch record skipped")
+                }
             }
         }
         changes
@@ -421,7 +424,7 @@
     fn join(&mut self, batch: &str, count: u32) -> Result<Submission, String> {
         let chunks = self.chunks.remove(batch).unwrap_or_default();
         if chunks.len() != count as usize {
-            return Err(format!("{} of {count} parts", chunks.len()));
+            return Err(format!("got {} of {count} chunks", chunks.len()));
         }
         let bytes: Vec<u8> = chunks.into_values().flatten().collect();
         postcard::from_bytes(&bytes).map_err(|error| error.to_string())
@@ -431,11 +434,12 @@
 /// A submission and its results by position.
 pub type StoredBatch = (Arc<Submission>, Vec<Arc<ItemResult>>);
 
-/// Reads a batch and its results from the store, for a host that reaches no owner of it.
+/// Reads a batch and its results from the store, for a host that can't reach the partition's owner.
+/// Returns `None` if no such batch exists.
 ///
 /// # Errors
 ///
-/// When the store doesn't answer. A batch that doesn't exist is no error.
+/// Fails if the store doesn't answer.
 pub fn read_stored(
     store: &dyn Store,
     part: u32,
--- a/crates/godwitspool-host/src/batch/pace.rs
+++ b/crates/godwitspool-host/src/batch/pace.rs
@@ -1,33 +1,34 @@
 use godwitspool_types::Millis;
 
-/// Shortest silence that counts: long beside the time between events, so that a burst of prompts
-/// at a target moves nothing.
+/// Minimum time without data after which a run is moved. It is long compared with the interval
+/// between events, so that a burst of prompts at a target doesn't move its runs.
 const MIN_SILENCE: Millis = Millis(500);
-/// Silence in multiples of the usual time between events.
+/// Time without data after which a run is moved, as a multiple of the median interval.
 const SILENCE_FACTOR: f64 = 10.0;
-/// Time without any answer after which a target with a full queue is left for one with a free place.
+/// Time without an answer after which a run moves from a target with a full queue to one with a
+/// free slot.
 const MAX_QUEUE_WAIT: Millis = Millis(800);
-/// Events after which a run's own pace says something.
+/// Number of events from which on a run's smoothed interval is meaningful.
 const MIN_EVENTS: u32 = 4;
-/// A run this much slower than usual is worth the few milliseconds that its tokens take to be read
-/// again elsewhere.
+/// A run whose interval exceeds the median by this factor is moved: the other target needs only a
+/// few milliseconds to process the tokens generated so far.
 const SLOW_FACTOR: f64 = 1.8;
-/// Moves after which a run stays: each doubles the silence that is borne.
+/// Maximum number of moves of an item. Each move doubles the tolerated time without data.
 const MAX_MOVES: u32 = 6;
-/// Weight of the newest time between events.
+/// Weight of the newest interval in the smoothed one.
 const INTERVAL_SMOOTHING: f64 = 0.25;
 
-/// How fast a run's events come.
+/// The rate at which a run's events arrive.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pace {
-    /// Smoothed time between events in milliseconds.
+    /// Smoothed interval between events, in milliseconds.
     pub interval_ms: f64,
-    /// Events of this run.
+    /// Number of events that the run has produced.
     pub events: u32,
 }
 
 impl Pace {
-    /// Takes over events that arrived together after a time.
+    /// Adds events that arrived together, `since_last` after the previous data.
     pub fn push(&mut self, events: u32, since_last: Millis) {
         if events == 0 {
             return;
@@ -42,37 +43,38 @@
     }
 }
 
-/// What is known of a run when its place is weighed.
+/// The state of a run on which [`decide_move`] decides.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunView {
     /// Whether the target has begun to answer.
     pub answering: bool,
-    /// Time since anything arrived.
+    /// Time since the last data arrived.
     pub silent: Millis,
-    /// Its own pace.
+    /// Rate of the run's events.
     pub pace: Pace,
-    /// Usual time between events of the service's targets, in milliseconds.
+    /// Median interval between events at the service's targets, in milliseconds; `None` if unknown.
     pub median_ms: Option<f64>,
-    /// How often the item was moved.
+    /// Number of earlier moves of the item.
     pub moves: u32,
 }
 
 /// Why a run is moved.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Move {
-    /// Its target doesn't begin.
+    /// The target has not begun to answer.
     Queued,
-    /// Its target has fallen silent.
+    /// The target has stopped sending data.
     Silent,
-    /// Its target is slow.
+    /// The target sends events much slower than the median.
     Slow,
 }
 
-/// Decides whether a run goes on at another target that has a free place.
+/// Decides whether a run moves to another target that has a free slot.
 ///
-/// Load pattern: a group counts when its longest item is done, and some targets are slow, load
-/// weights, or have died without a word. The tokens so far are read again in a few milliseconds, so
-/// a move costs less than a second of waiting.
+/// Load pattern: a group is complete when its longest item is done, while some targets are slow,
+/// are loading weights, or have died without closing their connections. The other target processes
+/// the tokens generated so far within a few milliseconds, so a move costs less than waiting for a
+/// second.
 ///
 /// ```
 /// use godwitspool_host::batch::{Move, Pace, RunView, decide_move};
@@ -104,9 +106,9 @@
     (known && run.pace.interval_ms > median * SLOW_FACTOR).then_some(Move::Slow)
 }
 
-/// Returns the usual time between events: the middle of the targets' own.
+/// Returns the median of the targets' intervals between events.
 pub fn median_pace(mut paces: Vec<f64>) -> Option<f64> {
     paces.sort_by(f64::total_cmp);
-    // The faster half decides where many are slow.
+    // For an even number the lower middle value is used, so that slow targets weigh less.
     paces.get(paces.len().saturating_sub(1) / 2).copied()
 }
--- a/crates/godwitspool-host/src/batch/progress.rs
+++ b/crates/godwitspool-host/src/batch/progress.rs
@@ -1,4 +1,5 @@
-//! Saves what items have generated, so that another owner goes on where this one was lost.
+//! Saves the partial output of unfinished items, so that a new owner of the partition can resume
+//! them if this host is lost.
 
 use std::{thread, time::Duration};
 
@@ -9,28 +10,30 @@
     store::{Record, Store, Topic},
 };
 
-/// Time between two saves: a part of the time until a lost host's partitions are dealt to others,
-/// so that what is generated again is small beside it.
-const SAVE_PERIOD: Duration = Duration::from_secs(1);
-/// Events that are worth a record: about as many as an item generates between two saves.
-const SAVE_EVENTS: u64 = 20;
+/// Time between two saves. It is a fraction of the time until a lost host's partitions are assigned
+/// to others, so that little output has to be generated again.
+const SAVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum number of new events for which a record is written: about as many as an item generates
+/// between two saves.
+const MIN_SAVE_EVENTS: u64 = 20;
 
-/// Saves what the items of the owned partitions generate until the process drains.
+/// Saves the partial output of the items in the owned partitions periodically until the process
+/// drains.
 pub fn save_running(shared: &Shared) {
     let bounds = shared.settings.store;
     while !shared.is_draining() {
-        thread::sleep(SAVE_PERIOD);
-        for (part, records) in shared.owned_batches.unsaved(SAVE_EVENTS, &bounds) {
+        thread::sleep(SAVE_INTERVAL);
+        for (part, records) in shared.owned_batches.unsaved(MIN_SAVE_EVENTS, &bounds) {
             save_progress(shared.store.as_ref(), part, records, &bounds);
         }
     }
 }
 
-/// Appends what items have generated; tells whether all of it was.
+/// Appends records of partial output. Returns whether all appends succeeded.
 ///
-/// No epoch shuts out an earlier owner here: whoever generated it, it is the beginning of a text
-/// with which any owner may go on. It isn't repeated either: what fails is saved with what follows,
-/// or generated again.
+/// The appends carry no epoch, so an earlier owner is not fenced off: any owner may continue from
+/// partial output, whoever generated it. A failed append is not retried: a later save covers the
+/// output, or it is generated again.
 pub fn save_progress(
     store: &dyn Store,
     part: u32,
--- a/crates/godwitspool-host/src/batch/record.rs
+++ b/crates/godwitspool-host/src/batch/record.rs
@@ -11,77 +11,77 @@
     store::{Record, StoredRecord},
 };
 
-/// Room left in a record for its key and framing.
+/// Bytes of a record that are reserved for its key and framing.
 const RECORD_OVERHEAD_BYTES: usize = 256;
 
-/// Returns the partition of a batch. Every host must agree on it.
+/// Returns the number of the partition that stores a batch. All hosts must compute the same one.
 pub fn partition_of(batch: &str, parts: u32) -> u32 {
     (rapidhash_v3(batch.as_bytes()) % u64::from(parts.max(1))) as u32
 }
 
-/// What a record of the batches or results says.
+/// A decoded record of the topics `Batches` and `Results`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum BatchRecord {
-    /// Part of a submission that is larger than a record.
+    /// A chunk of an encoded submission.
     Chunk {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
-        /// Number of the part.
+        /// Index of the chunk, starting at 0.
         index: u32,
-        /// Its bytes.
+        /// Bytes of the chunk.
         bytes: Vec<u8>,
     },
-    /// The submission is whole with so many parts.
+    /// Marks a submission as complete; it is appended after all chunks.
     Commit {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
-        /// Number of parts.
+        /// Number of chunks of the submission.
         chunk_count: u32,
     },
-    /// The batch has been ended.
+    /// Marks a batch as ended by its caller.
     End {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
     },
-    /// What has been generated of an item that hasn't ended.
+    /// Partial output of an item that hasn't ended.
     Progress {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
-        /// The item's index.
+        /// Index of the item in the batch.
         item: u32,
-        /// What was generated.
+        /// Partial output of the item.
         progress: ItemProgress,
     },
-    /// A result in its position.
+    /// A result that fits into one record.
     Result {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
-        /// The position.
+        /// Position of the result in the batch's list of results.
         position: u64,
-        /// The result.
+        /// Result of the item.
         result: ItemResult,
     },
-    /// Part of a result that is larger than a record.
+    /// A chunk of a result that doesn't fit into one record.
     ResultChunk {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
-        /// The position.
+        /// Position of the result in the batch's list of results.
         position: u64,
-        /// Number of the part.
+        /// Index of the chunk, starting at 0.
         index: u32,
-        /// How many parts there are.
+        /// Number of chunks of the result.
         chunk_count: u32,
-        /// Its bytes.
+        /// Bytes of the chunk.
         bytes: Vec<u8>,
     },
-    /// A key of a batch was removed.
+    /// A tombstone for one of the batch's keys.
     Removed {
-        /// The batch.
+        /// Identifier of the batch.
         batch: String,
     },
 }
 
-/// A record of batches that can't be read.
+/// A record of a batch can't be decoded.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("record {key}: {reason}"))]
 pub struct RecordError {
@@ -90,7 +90,8 @@
 }
 
 impl BatchRecord {
-    /// Returns the appends that store a submission, in their order: the last one makes it whole.
+    /// Returns the appends that store a submission, in order. The last record of the last append is
+    /// the [`Self::Commit`].
     pub fn of_submission(submission: &Submission, bounds: &StoreBounds) -> Vec<Vec<Record>> {
         let bytes = encode(submission);
         let size = bounds
@@ -107,12 +108,12 @@
         split_calls(records, bounds)
     }
 
-    /// Returns the record that ends a batch.
+    /// Returns the record that marks a batch as ended.
     pub fn of_end(batch: &str) -> Record {
         Record::new(format!("{batch}/e"), [1])
     }
 
-    /// Returns the records that remove a submission and its end, and those that remove its results.
+    /// Returns tombstones for a submission and its end mark, and tombstones for its results.
     pub fn of_removal(
         submission: &Submission,
         results: &[Arc<ItemResult>],
@@ -131,7 +132,7 @@
         (batch, results)
     }
 
-    /// Returns the records of a result, which are appended together.
+    /// Returns the records of a result, which must be part of one append.
     pub fn of_result(
         batch: &str,
         position: u64,
@@ -156,7 +157,7 @@
             .collect()
     }
 
-    /// Returns the record of what an item has generated so far; `None` if it is too large for one.
+    /// Returns the record of an item's partial output; `None` if it doesn't fit into one record.
     pub fn of_progress(
         batch: &str,
         item: u32,
@@ -168,39 +169,46 @@
         fits.then(|| Record::new(Self::progress_key(batch, item), value))
     }
 
-    /// Returns the key of what an item has generated.
+    /// Returns the key of the record with an item's partial output.
     pub fn progress_key(batch: &str, item: u32) -> String {
         format!("{batch}/p{item:08}")
     }
 
-    /// Returns the smallest key behind which all keys of a batch follow.
+    /// Returns the prefix of a batch's keys, after which all of them sort.
     pub fn key_prefix(batch: &str) -> String {
         format!("{batch}/")
     }
 
-    /// Tells whether a key belongs to a batch.
+    /// Returns whether a key belongs to a batch.
     pub fn belongs(key: &str, batch: &str) -> bool {
         key.strip_prefix(batch)
             .is_some_and(|rest| rest.starts_with('/'))
     }
 
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// When the key or the content is of another form.
+    /// Fails if the key or the value has an unknown format.
     pub fn read(stored: StoredRecord) -> Result<Self, RecordError> {
         let Record { key, value } = stored.record;
         let wrong = |reason: &str| RecordError {
             key: key.clone(),
             reason: reason.to_owned(),
         };
-        let (batch, kind) = key.rsplit_once('/').ok_or_else(|| wrong("no kind"))?;
+        let (batch, kind) = key
+            .rsplit_once('/')
+            .ok_or_else(|| wrong("the key has no kind"))?;
         let batch = batch.to_owned();
         let Some(value) = value else {
             return Ok(Self::Removed { batch });
         };
-        let number = |digits: &str| digits.parse::<u64>().ok().ok_or_else(|| wrong("no number"));
+        let number = |digits: &str| {
+            digits
+                .parse::<u64>()
+                .ok()
+                .ok_or_else(|| wrong("the key has no valid number"))
+        };
         match kind.split_at_checked(1) {
             Some(("b", digits)) => Ok(Self::Chunk {
                 batch,
@@ -211,7 +219,7 @@
                 let chunk_count = value
                     .try_into()
                     .ok()
-                    .ok_or_else(|| wrong("no count of parts"))?;
+                    .ok_or_else(|| wrong("the value has no chunk count"))?;
                 Ok(Self::Commit {
                     batch,
                     chunk_count: u32::from_be_bytes(chunk_count),
@@ -225,10 +233,12 @@
                     .map_err(|error| wrong(&error.to_string()))?,
             }),
             Some(("q", place)) => {
-                let (position, index) = place.split_once('.').ok_or_else(|| wrong("no part"))?;
+                let (position, index) = place
+                    .split_once('.')
+                    .ok_or_else(|| wrong("the key has no chunk index"))?;
                 let (chunk_count, bytes) = value
                     .split_first_chunk()
-                    .ok_or_else(|| wrong("no count of parts"))?;
+                    .ok_or_else(|| wrong("the value has no chunk count"))?;
                 Ok(Self::ResultChunk {
                     position: number(position)?,
                     index: number(index)? as u32,
@@ -242,12 +252,12 @@
                 position: number(digits)?,
                 result: postcard::from_bytes(&value).map_err(|error| wrong(&error.to_string()))?,
             }),
-            _ => Err(wrong("unknown kind")),
+            _ => Err(wrong("unknown kind of key")),
         }
     }
 }
 
-/// Deals records to as many appends as the bound on one asks for.
+/// Splits records into appends that stay within [`StoreBounds::call_bytes`].
 pub fn split_calls(records: Vec<Record>, bounds: &StoreBounds) -> Vec<Vec<Record>> {
     let mut calls: Vec<Vec<Record>> = vec![Vec::new()];
     let mut used = 0;
@@ -265,10 +275,10 @@
     calls
 }
 
-/// Encodes a value of the project's own. Such values are plain data, whose encoding doesn't fail.
+/// Encodes a batch's data. Such values are plain data, so encoding them doesn't fail.
 fn encode(value: &impl serde::Serialize) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_else(|error| {
-        log::error!(error:%; "value can't be encoded");
+        log::error!(error:%; "record value can't be encoded");
         Vec::new()
     })
 }
--- a/crates/godwitspool-host/src/batch/registry.rs
+++ b/crates/godwitspool-host/src/batch/registry.rs
@@ -12,43 +12,44 @@
 };
 use crate::{StoreBounds, http::Waker, store::Record};
 
-/// Bytes of results in one answer; the interface allows a megabyte.
+/// Maximum size of the results in one answer; callers accept answers of up to a megabyte.
 const MAX_PAGE_BYTES: usize = 900 * 1024;
 
-/// The batches of the partitions that this host owns.
+/// The batches of the partitions that this host owns, shared by the threads of the process.
 #[derive(Debug)]
 pub struct BatchRegistry {
     parts: Mutex<BTreeMap<u32, OwnedPartition>>,
     changed: Condvar,
     part_count: u32,
-    /// Highest epoch known of each partition, of this host's or another's ownership.
+    /// Highest epoch that another host has reported for each partition.
     epochs: Mutex<BTreeMap<u32, u64>>,
-    /// Wakes the runner when there may be something to start or to stop.
+    /// Wakes the runner when items may have to be started or stopped.
     pub waker: Waker,
 }
 
-/// An owned partition.
+/// A partition that this host owns.
 #[derive(Debug)]
 pub struct OwnedPartition {
-    /// Epoch under which it is owned.
+    /// Epoch of the ownership.
     pub epoch: u64,
-    /// Its batches.
+    /// Batches of the partition by identifier.
     pub batches: BTreeMap<String, Batch>,
     writer: Sender<Finished>,
 }
 
 impl OwnedPartition {
-    /// Hands a finished item to the partition's writer.
+    /// Sends the result of an item to the thread that appends the partition's results.
     pub fn send_result(&self, finished: Finished) {
         if self.writer.send(finished).is_err() {
-            // The partition is being closed; its next owner runs the item again.
-            log::info!(epoch = self.epoch; "result dropped, partition closes");
+            // The partition is being closed, and its next owner will run the item again.
+            log::info!(epoch = self.epoch; "result dropped: the partition is being closed");
         }
     }
 }
 
 impl OwnedPartition {
-    /// Returns records of what items have generated beyond what was saved of them.
+    /// Returns records of the partial output of unfinished items that have generated at least
+    /// `events` events since they were saved, and marks it as saved.
     fn unsaved(&mut self, events: u64, bounds: &StoreBounds) -> Vec<Record> {
         let mut records = Vec::new();
         for batch in self.batches.values_mut().filter(|batch| batch.is_open()) {
@@ -56,7 +57,8 @@
             for (index, item) in batch.items.iter_mut().enumerate() {
                 if item.has_unsaved(events) {
                     let record = BatchRecord::of_progress(id, index as u32, &item.progress, bounds);
-                    // The record may reach the store even if the call fails.
+                    // Marked before the append, since the record may reach the store even if the
+                    // call fails.
                     item.saved_event = item.progress.last_event;
                     records.extend(record);
                 }
@@ -65,7 +67,7 @@
         records
     }
 
-    /// Returns records that remove what was saved of items of batches that are over.
+    /// Returns tombstones for the saved partial output of closed batches.
     fn tombstones(&mut self) -> Vec<Record> {
         let mut records = Vec::new();
         for batch in self.batches.values_mut().filter(|batch| !batch.is_open()) {
@@ -81,23 +83,23 @@
     }
 }
 
-/// What a host knows of a batch.
+/// The outcome of looking up a batch at this host.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Lookup<T> {
-    /// It is here.
+    /// The batch is known here.
     Found(T),
-    /// This host owns its partition and knows no such batch of the workspace.
+    /// This host owns the partition, and the workspace has no such batch.
     Missing,
-    /// Another host owns its partition, or none.
+    /// This host doesn't own the partition.
     NotOwned,
 }
 
 impl BatchRegistry {
-    /// Creates an empty book for so many partitions.
+    /// Creates an empty registry for topics with `parts` partitions.
     ///
     /// # Errors
     ///
-    /// When no pipe can be opened.
+    /// Fails if no pipe for the waker can be opened.
     pub fn new(parts: u32) -> io::Result<Self> {
         Ok(Self {
             parts: Mutex::new(BTreeMap::new()),
@@ -108,12 +110,12 @@
         })
     }
 
-    /// Gives access to the owned partitions.
+    /// Locks the owned partitions.
     pub fn lock(&self) -> MutexGuard<'_, BTreeMap<u32, OwnedPartition>> {
         self.parts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes over a partition.
+    /// Adds a partition that this host owns from now on, with its batches.
     pub fn open(&self, part: u32, epoch: u64, batches: Vec<Batch>, writer: Sender<Finished>) {
         let batches = batches.into_iter();
         let batches = batches
@@ -128,7 +130,7 @@
         self.notify();
     }
 
-    /// Gives up a partition that is owned under an epoch.
+    /// Removes a partition if it is still owned under `epoch`.
     pub fn close(&self, part: u32, epoch: u64) {
         let mut parts = self.lock();
         if parts.get(&part).is_some_and(|part| part.epoch == epoch) {
@@ -147,8 +149,9 @@
             .collect()
     }
 
-    /// Records that another host owns a partition under an epoch. A lower epoch of this host ends at
-    /// once with its runs: the other host goes on with the items.
+    /// Records that another host owns a partition under `epoch`. If this host owns it under a lower
+    /// epoch, the partition is removed at once and its runs stop: the other host continues the
+    /// items.
     pub fn observe_epoch(&self, part: u32, epoch: u64) {
         let mut epochs = self.epochs.lock().unwrap_or_else(PoisonError::into_inner);
         let known = epochs.entry(part).or_default();
@@ -163,14 +166,14 @@
         }
     }
 
-    /// Tells whether another host is known to own a partition under a higher epoch.
+    /// Returns whether another host is known to own a partition under an epoch higher than `epoch`.
     pub fn is_superseded(&self, part: u32, epoch: u64) -> bool {
         let epochs = self.epochs.lock().unwrap_or_else(PoisonError::into_inner);
         epochs.get(&part).is_some_and(|known| *known > epoch)
     }
 
-    /// Gives up a partition that is owned under an epoch and returns what of its items the store
-    /// doesn't hold yet. Results that wait for the store are still written.
+    /// Removes a partition if it is still owned under `epoch`, and returns records of its unsaved
+    /// partial output. Results that are queued for the store are still written.
     pub fn take_unsaved(&self, part: u32, epoch: u64, bounds: &StoreBounds) -> Vec<Record> {
         let mut parts = self.lock();
         let owned = parts.get(&part).is_some_and(|part| part.epoch == epoch);
@@ -180,8 +183,9 @@
         taken.map_or_else(Vec::new, |mut part| part.unsaved(1, bounds))
     }
 
-    /// Returns, for each partition, what the items that run have generated since they were saved
-    /// last, if it is `events` or more; and the keys of what batches that have ended saved.
+    /// Returns records for each partition: the partial output of unfinished items that have
+    /// generated at least `events` events since they were saved, and tombstones for that of closed
+    /// batches.
     pub fn unsaved(&self, events: u64, bounds: &StoreBounds) -> Vec<(u32, Vec<Record>)> {
         let mut parts = self.lock();
         let unsaved = parts.iter_mut().map(|(number, part)| {
@@ -192,7 +196,7 @@
         unsaved.filter(|(_, records)| !records.is_empty()).collect()
     }
 
-    /// Takes over a batch that was accepted. Returns whether it is new.
+    /// Adds an accepted batch. Returns whether the batch is new and its partition is owned.
     pub fn accept(&self, part: u32, submission: Arc<Submission>) -> bool {
         let mut parts = self.lock();
         let Some(part) = parts.get_mut(&part) else {
@@ -207,7 +211,8 @@
         true
     }
 
-    /// Ends a batch: no item of it starts, and those that run are stopped.
+    /// Ends a batch: no further item starts, and running items are stopped. Returns whether the
+    /// batch was known and not ended before.
     pub fn end(&self, part: u32, batch: &str) -> bool {
         let mut parts = self.lock();
         let found = parts
@@ -222,15 +227,15 @@
         first
     }
 
-    /// Drops a batch whose records were removed.
+    /// Removes a batch whose records have been deleted from the store.
     pub fn delete_batch(&self, part: u32, batch: &str) {
         if let Some(part) = self.lock().get_mut(&part) {
             part.batches.remove(batch);
         }
     }
 
-    /// Returns the batches of a partition whose time is over, with their results: submitted longer
-    /// ago than `ttl`, and ended or with every result listed.
+    /// Returns the expired batches of a partition with their results: those that were submitted
+    /// longer than `ttl` ago and are closed.
     pub fn expired(&self, part: u32, now_ms: u64, ttl: Duration) -> Vec<StoredBatch> {
         let ttl_ms = ttl.as_millis() as u64;
         let parts = self.lock();
@@ -238,13 +243,14 @@
             .get(&part)
             .into_iter()
             .flat_map(|part| part.batches.values());
-        let over = batches
+        let expired_batches = batches
             .filter(|batch| !batch.is_open() && batch.submission.received_ms + ttl_ms < now_ms);
-        over.map(|batch| (Arc::clone(&batch.submission), batch.results.clone()))
+        expired_batches
+            .map(|batch| (Arc::clone(&batch.submission), batch.results.clone()))
             .collect()
     }
 
-    /// Lists results that the store holds now.
+    /// Makes results readable that the store has confirmed.
     pub fn publish_results(&self, part: u32, epoch: u64, listed: &[Finished]) {
         let mut parts = self.lock();
         let Some(part) = parts.get_mut(&part).filter(|part| part.epoch == epoch) else {
@@ -259,7 +265,8 @@
         self.notify();
     }
 
-    /// Returns results from a position on; waits for the first if there is none yet.
+    /// Returns a page of results starting at a position. Waits up to `wait` for the first one if
+    /// there is none yet and the batch is open.
     pub fn read(
         &self,
         id: &str,
@@ -286,7 +293,7 @@
         }
     }
 
-    /// Returns the body of an item that has no result yet.
+    /// Returns the request body of an item.
     pub fn body(&self, id: &str, workspace: Option<&Workspace>, item: &str) -> Lookup<Vec<u8>> {
         let parts = self.lock();
         let Some(part) = parts.get(&partition_of(id, self.part_count)) else {
@@ -318,7 +325,7 @@
     allowed.then_some(batch)
 }
 
-/// Returns the results from a position on, up to the size of a page.
+/// Returns a page of results starting at a position. It holds at least one result if there is one.
 pub fn page(submission: &Submission, results: &[Arc<ItemResult>], after: u64) -> ResultPage {
     let mut used = 0;
     let from = (after as usize).min(results.len());
--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -10,30 +10,28 @@
     version::{Configuration, Outcome},
 };
 
-/// A run whose target sends nothing for so long goes on elsewhere. Loads of weights stop a target
-/// for about a second, longer while several load.
+/// Idle timeout of a run that has begun to answer. A target stops sending for about a second while
+/// it loads weights, and for longer while several targets load.
 const EVENT_TIMEOUT: Millis = Millis(3_000);
-/// A run whose target hasn't begun to answer for so long is tried elsewhere: the time in which a
-/// full queue of a target empties.
+/// Timeout for the beginning of the answer: the time within which a target works off a full queue.
 const HEAD_TIMEOUT: Millis = Millis(4_000);
-/// A target that doesn't take a connection for so long is taken as gone: several round trips
-/// between data centres.
+/// Timeout for connecting to a target: several round trips between data centres.
 const CONNECT_TIMEOUT: Millis = Millis(300);
-/// Another target counts as faster below this multiple of the usual time between events.
+/// A run moves only to a target whose interval between events is below this multiple of the median.
 const MOVE_PACE_FACTOR: f64 = 1.5;
-/// Time between looks at stalled runs, and at items that found no target.
+/// Interval between checks for stalled runs, and for targets for the waiting items.
 const CHECK_INTERVAL: Millis = Millis(100);
 
-/// Runs the items of the owned partitions, in one thread.
+/// Runs the items of the owned partitions in a single thread.
 #[derive(Debug)]
 pub struct Runner {
     shared: Arc<Shared>,
     runs: Vec<Run>,
-    /// When stalled and slow runs were looked for last.
+    /// Time of the last check for stalled and slow runs.
     last_check: Millis,
 }
 
-/// An item that runs at a target.
+/// A run: one attempt to run an item at a target.
 #[derive(Debug)]
 struct Run {
     part: u32,
@@ -44,7 +42,7 @@
     target: TargetName,
     address: SocketAddr,
     exchange: Exchange,
-    /// Bytes of an event that isn't whole yet.
+    /// Bytes of an incomplete event.
     buffer: Vec<u8>,
     began: Millis,
     last_data: Millis,
@@ -53,7 +51,7 @@
     service: ServiceName,
 }
 
-/// How a run stands after its socket was served.
+/// The state of a run after its socket was served.
 enum Step {
     Active,
     Ended(RunEnd),
@@ -78,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// When the operating system refuses to wait for sockets.
+    /// Fails if polling the sockets fails.
     pub fn run(mut self) -> io::Result<()> {
         loop {
             let waiting = self.start_items();
@@ -89,7 +87,7 @@
         }
     }
 
-    /// Tells the other hosts what runs here.
+    /// Reports the number of runs per target to the other hosts.
     fn report(&self) {
         let mut running: HashMap<TargetName, u32> = HashMap::new();
         for run in &self.runs {
@@ -107,7 +105,7 @@
         Ok(())
     }
 
-    /// Starts what may start; returns whether items are left that wait.
+    /// Starts the items that may start now; returns whether any item is left waiting.
     fn start_items(&mut self) -> bool {
         let Some(configuration) = self.shared.configuration() else {
             return false;
@@ -130,7 +128,7 @@
                     let submission = Arc::clone(&batch.submission);
                     let Some(route) = configuration.route(&submission.host, &submission.prefix)
                     else {
-                        log::warn!(batch:% = submission.id, item:% = submission.items[item].id; "item given up, its route is gone");
+                        log::warn!(batch:% = submission.id, item:% = submission.items[item].id; "item given up: its route is gone");
                         dropped.push(batch.finish(item, false));
                         continue;
                     };
@@ -139,7 +137,7 @@
                     };
                     let Some(run) = self.start(&configuration, &service, batch, item, now) else {
                         waiting = true;
-                        // The store may not have told yet that this version is named.
+                        // The operators' record of this version may not have arrived yet.
                         let (model, oldest) = (&submission.model, submission.min_version);
                         self.shared.learn_version(model, oldest, "a batch");
                         break;
@@ -233,8 +231,8 @@
         })
     }
 
-    /// Serves the sockets of all runs, and ends those whose batch has ended or whose partition was
-    /// given up.
+    /// Serves the sockets of all runs, and drops the runs whose batch has ended or whose partition
+    /// this host no longer owns.
     fn advance(&mut self) {
         let now = self.shared.clock.now();
         let shared = Arc::clone(&self.shared);
@@ -320,7 +318,7 @@
             Ok(Progress::Done) => self.done(shared, batch, now),
             Err(error) => {
                 let spec = &self.submission.items[self.item];
-                log::info!(item:% = spec.id, target_name:% = self.target, error:%; "run broke off");
+                log::info!(item:% = spec.id, target_name:% = self.target, error:%; "connection of a run failed");
                 let failure = match error {
                     CallError::Connect { .. } => RunFailure::NotRun,
                     _ => RunFailure::Broken,
@@ -354,11 +352,12 @@
             return Step::Active;
         }
         let spec = &self.submission.items[self.item];
-        log::info!(item:% = spec.id, target_name:% = self.target, silent_ms = silent.0, head = self.head_read; "run stalled");
+        log::info!(item:% = spec.id, target_name:% = self.target, silent_ms = silent.0, head = self.head_read; "run timed out");
         Step::Ended(RunEnd::Failed(RunFailure::Broken, Outcome::Failed))
     }
 
-    /// Returns why the run goes on elsewhere, if it is worth it and there is room.
+    /// Returns why the run should move to another target; `None` if it should stay, no fast enough
+    /// target has a free slot, or its output must come from a single version.
     fn check_move(&self, shared: &Shared, batch: &Batch, now: Millis) -> Option<Move> {
         let fleet = shared.fleet();
         let view = RunView {
@@ -385,7 +384,7 @@
         (faster && !self.submission.single_version).then_some(reason)
     }
 
-    /// Takes over the events that are whole; returns how many.
+    /// Appends the complete events in the buffer to the item's output; returns their number.
     fn read_events(&mut self, shared: &Shared, batch: &mut Batch) -> Result<u32, RunFailure> {
         let spec = &self.submission.items[self.item];
         let progress = &mut batch.items[self.item].progress;
@@ -404,7 +403,7 @@
             };
             let expected = progress.last_event.map(|last| last + 1);
             if expected.is_some_and(|expected| expected != number) {
-                log::warn!(item:% = spec.id, target_name:% = self.target, number, expected; "event out of order");
+                log::warn!(item:% = spec.id, target_name:% = self.target, number, expected; "event number out of order");
                 return Err(RunFailure::Broken);
             }
             let stale = progress
@@ -416,7 +415,7 @@
                     .last()
                     .is_some_and(|last| Some(*last) != progress.version);
             if stale || mixed {
-                log::warn!(item:% = spec.id, target_name:% = self.target, version:? = progress.version, min_version = self.submission.min_version; "run under a version that doesn't fit");
+                log::warn!(item:% = spec.id, target_name:% = self.target, version:? = progress.version, min_version = self.submission.min_version; "unusable model version: too old, or mixed within one result");
                 return Err(RunFailure::Unusable);
             }
             progress.push(number, &event.data);
@@ -448,7 +447,7 @@
         }
     }
 
-    /// Takes over how the run ended; returns the item if it ended too.
+    /// Records how the run ended; returns the result if the item has ended too.
     fn end(
         &self,
         shared: &Shared,
@@ -489,7 +488,7 @@
         }
     }
 
-    /// Keeps the connection if it can carry another request.
+    /// Returns the connection to the pool if it can be reused.
     fn release(self, shared: &Shared) {
         let connection: Option<Connection> = self.exchange.finish().1;
         if let Some(connection) = connection {
--- a/crates/godwitspool-host/src/batch/state.rs
+++ b/crates/godwitspool-host/src/batch/state.rs
@@ -5,35 +5,37 @@
 
 use super::{ItemResult, Submission, order_items};
 
-/// Pause before an item is tried again after its target failed it; a target that refuses for lack
-/// of room pauses itself.
+/// Delay before an item is retried after a run failed. Refused items are not delayed, since the
+/// refusing target is paused itself.
 const RETRY_BACKOFF: Millis = Millis(100);
-/// Broken runs in a row without an event after which an item may be what crashes its targets.
+/// Number of consecutive broken runs without a new event after which the item is suspected of
+/// crashing its targets.
 const MAX_EMPTY_RUNS: u32 = 3;
-/// Pause of such an item, doubled with each further run. Below the 5 s without a run after which the
-/// platform's rules count an item as forgotten, and long beside the second that a target takes to
-/// come back.
+/// Delay before a suspected item is retried; doubles with each further run. It is shorter than the
+/// 5 s without a run after which the platform considers an item forgotten, and much longer than the
+/// second that a target needs to restart.
 const SUSPECT_BACKOFF: Millis = Millis(4_500);
-/// Doublings after which the pause stays.
+/// Maximum number of doublings of [`SUSPECT_BACKOFF`].
 const MAX_DOUBLINGS: u32 = 6;
-/// Rejections of an item after which it is given up: one says that it can never be done.
+/// Number of rejections after which an item is given up: a rejection means that no target can ever
+/// serve it.
 const MAX_REJECTIONS: u32 = 1;
 
-/// What an item has generated so far.
+/// The partial output of an item.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ItemProgress {
-    /// Data of the events, one a line.
+    /// Data of the events, joined with line feeds.
     pub text: Vec<u8>,
-    /// Number of the last event.
+    /// Number of the last event; `None` before the first one.
     pub last_event: Option<u64>,
-    /// Versions that generated it, in the order of use.
+    /// Versions of the model that generated the output, in the order of use.
     pub versions: Vec<u64>,
-    /// Version that generates now.
+    /// Version of the model that generates the next events, if known.
     pub version: Option<u64>,
 }
 
 impl ItemProgress {
-    /// Adds an event.
+    /// Appends the data of an event.
     pub fn push(&mut self, number: u64, data: &[u8]) {
         if self.last_event.is_some() {
             self.text.push(b'\n');
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Returns the versions ascending, each once.
+    /// Returns the versions in ascending order without duplicates.
     pub fn distinct_versions(&self) -> Vec<u64> {
         let mut versions = self.versions.clone();
         versions.sort_unstable();
@@ -56,49 +58,49 @@
     }
 }
 
-/// Where an item stands.
+/// The state of an item.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ItemState {
-    /// It may start, no sooner than at a time.
+    /// The item waits for a target.
     Waiting {
-        /// The time.
+        /// Earliest time at which it may start.
         not_before: Millis,
     },
-    /// It runs at a target.
+    /// The item runs at a target.
     Running,
-    /// It has ended; its result is listed or on its way to the store.
+    /// The item has ended. Its result is stored or queued for the store.
     Done,
 }
 
 /// An item of a batch that this host runs.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// Where it stands.
+    /// Whether the item waits, runs or has ended.
     pub state: ItemState,
-    /// Runs that failed at their target.
+    /// Number of runs that the target reported as failed.
     pub failures: u32,
-    /// Runs that the target rejected for good.
+    /// Number of runs that the target rejected for good.
     pub rejections: u32,
-    /// Broken runs in a row that generated nothing.
+    /// Number of consecutive broken runs without a new event.
     pub empty_runs: u32,
-    /// Runs that were moved to another target.
+    /// Number of moves to another target.
     pub moves: u32,
-    /// What was generated so far.
+    /// Partial output.
     pub progress: ItemProgress,
-    /// Number of the last event that a record of the store holds, or may hold.
+    /// Number of the last event that the store holds, or may hold; `None` if nothing was saved.
     pub saved_event: Option<u64>,
-    /// Number of the last event when a run broke last.
+    /// Number of the last event at the time of the previous broken run.
     break_event: Option<u64>,
 }
 
 impl Item {
-    /// Tells whether so many events more than the store holds were generated.
+    /// Returns whether the item is unfinished and has at least `events` events that are not saved.
     pub fn has_unsaved(&self, events: u64) -> bool {
         let known = self.progress.last_event.unwrap_or_default();
         self.state != ItemState::Done && known >= self.saved_event.unwrap_or_default() + events
     }
 
-    /// Counts a broken run.
+    /// Updates the counters after a broken run.
     fn record_break(&mut self) {
         let last = self.progress.last_event;
         self.empty_runs = if last == self.break_event {
@@ -110,25 +112,25 @@
     }
 }
 
-/// How a run ended without the whole output.
+/// Why a run ended without the complete output.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunFailure {
-    /// The connection broke or fell silent; what has arrived stays.
+    /// The connection broke or timed out. The output that has arrived is kept.
     Broken,
-    /// The target failed the request: an attempt is used up.
+    /// The target reported a failure, which counts as an attempt.
     Failed,
     /// The target rejected the request for good.
     Rejected,
-    /// It goes on at another target; what has arrived stays.
+    /// The run was moved to another target. The output that has arrived is kept.
     Moved,
-    /// The target didn't run it.
+    /// The target didn't run the request.
     NotRun,
-    /// The output can't be used, so the next run starts from the beginning.
+    /// The output has a version that doesn't fit. It is discarded, and the next run starts over.
     Unusable,
 }
 
 impl RunFailure {
-    /// Returns the value as it stands in metrics.
+    /// Returns the label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Broken => "broken",
@@ -141,40 +143,41 @@
     }
 }
 
-/// What follows a failed run.
+/// What happens to an item after a failed run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The item is tried again.
+    /// The item is retried.
     Retry,
-    /// The item is given up.
+    /// The item ends without output.
     GiveUp,
 }
 
-/// An item that ended, on its way to the store.
+/// The result of an item that has ended and is queued for the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finished {
-    /// The batch.
+    /// Identifier of the batch.
     pub batch: String,
-    /// The result.
+    /// Result of the item.
     pub result: ItemResult,
 }
 
-/// A batch at the host that owns it.
+/// A batch at the host that owns its partition.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// As it was submitted.
+    /// The batch as it was submitted.
     pub submission: Arc<Submission>,
-    /// The items.
+    /// State of each item, in the order of the submission.
     pub items: Vec<Item>,
-    /// Results that the store holds, by position.
+    /// Results that the store has confirmed, by position.
     pub results: Vec<Arc<ItemResult>>,
-    /// Whether it has been ended.
+    /// Whether the caller has ended the batch.
     pub ended: bool,
+    /// Indexes of the items in the order in which they start.
     order: Vec<usize>,
 }
 
 impl Batch {
-    /// Takes over a batch with the results that the store holds.
+    /// Creates a batch from its submission and the results that the store holds.
     pub fn new(submission: Arc<Submission>, results: Vec<Arc<ItemResult>>) -> Self {
         let waiting = Item {
             state: ItemState::Waiting {
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Takes over what an earlier owner has saved of an item.
+    /// Restores the partial output of an item that an earlier owner has saved. The first call for
+    /// an item wins.
     pub fn resume(&mut self, item: u32, progress: ItemProgress) {
         let item = self.items.get_mut(item as usize);
         if let Some(item) = item.filter(|item| item.progress.last_event.is_none()) {
@@ -218,7 +222,8 @@
     ///
     /// # Errors
     ///
-    /// With the time at which the first one may, if none may now.
+    /// If no item may start now, returns the earliest time at which a waiting one may, or `None` if
+    /// no item is waiting.
     pub fn next_item(&self, now: Millis) -> Result<usize, Option<Millis>> {
         if self.ended {
             return Err(None);
@@ -236,12 +241,13 @@
         Err(soonest)
     }
 
-    /// Returns whether any item has neither a result nor was given up.
+    /// Returns whether the batch was not ended and some item has no stored result. Batches that are
+    /// not open are closed.
     pub fn is_open(&self) -> bool {
         !self.ended && self.results.len() < self.items.len()
     }
 
-    /// Takes over the failure of a run and decides what follows.
+    /// Records a failed run of an item and decides whether the item is retried.
     pub fn fail(&mut self, item: usize, failure: RunFailure, now: Millis) -> Verdict {
         let attempts = self.submission.attempts.max(1);
         let item = &mut self.items[item];
@@ -271,7 +277,7 @@
         Verdict::Retry
     }
 
-    /// Returns the result of an item that ended, and marks it so.
+    /// Marks an item as done and returns its result, which has output only if it is completed.
     pub fn finish(&mut self, index: usize, completed: bool) -> Finished {
         let item = &mut self.items[index];
         item.state = ItemState::Done;
--- a/crates/godwitspool-host/src/batch/stored_results.rs
+++ b/crates/godwitspool-host/src/batch/stored_results.rs
@@ -6,7 +6,7 @@
 use super::{BatchRecord, ItemProgress, ItemResult};
 use crate::store::StoredRecord;
 
-/// Results and progress of batches, put together from a partition's records.
+/// Results and partial output of a partition's batches, assembled from the records of its topic.
 #[derive(Debug, Default)]
 pub struct StoredResults {
     progress: HashMap<String, Vec<(u32, ItemProgress)>>,
@@ -15,7 +15,7 @@
 }
 
 impl StoredResults {
-    /// Puts records together; unreadable ones are left out.
+    /// Assembles the records; those that can't be decoded are skipped with a warning.
     pub fn read(part: u32, records: Vec<StoredRecord>) -> Self {
         let mut listed = Self::default();
         for stored in records {
@@ -23,7 +23,7 @@
                 .map_err(|error| error.to_string())
                 .and_then(|record| listed.add(record));
             if let Err(reason) = added {
-                log::warn!(partition = part, reason:%; "result record left out");
+                log::warn!(partition = part, reason:%; "undecodable result record skipped");
             }
         }
         listed
@@ -76,16 +76,16 @@
         results.insert(position, Arc::new(result));
     }
 
-    /// Takes a batch's results out, in their positions up to the first that isn't there: a read that
-    /// overlaps an append may lack its last ones.
+    /// Removes and returns a batch's results by position, up to the first missing position. A read
+    /// that overlaps an append may lack the results after it.
     pub fn take_results(&mut self, batch: &str) -> Vec<Arc<ItemResult>> {
         let results = self.results.remove(batch).unwrap_or_default();
-        let whole = results.into_iter().enumerate();
-        let whole = whole.take_while(|(index, (position, _))| *index as u64 == *position);
-        whole.map(|(_, (_, result))| result).collect()
+        let complete = results.into_iter().enumerate();
+        let complete = complete.take_while(|(index, (position, _))| *index as u64 == *position);
+        complete.map(|(_, (_, result))| result).collect()
     }
 
-    /// Takes out what was saved of a batch's items.
+    /// Removes and returns the saved partial output of a batch's items.
     pub fn take_progress(&mut self, batch: &str) -> Vec<(u32, ItemProgress)> {
         self.progress.remove(batch).unwrap_or_default()
     }
--- a/crates/godwitspool-host/src/dialect.rs
+++ b/crates/godwitspool-host/src/dialect.rs
@@ -48,7 +48,7 @@
         /// Position of the first result to return.
         after: u64,
     },
-    /// Reads the request body of an item that has no result yet.
+    /// Reads the request body of an item.
     ReadItem {
         /// Identifier of the batch.
         batch: String,
@@ -157,8 +157,8 @@
     /// Reads a caller's request.
     fn call(&self, request: &Request) -> Call;
 
-    /// Returns a caller's request as it is sent to a target: without the key, and with the fields of
-    /// `context`.
+    /// Returns a caller's request as it is sent to a target: without the key, and with the fields
+    /// of `context`.
     fn forward_request(&self, request: &Request, context: &ForwardContext<'_>) -> Request;
 
     /// Returns the request that runs an item of a batch at a target.
