--- a/crates/godwitspool-host/src/duty/loads.rs
+++ b/crates/godwitspool-host/src/duty/loads.rs
@@ -7,58 +7,59 @@
     version::{LOAD_TIME, Target},
 };
 
-/// An accepted order whose effect hasn't shown after so long is given again: loads, and the time
-/// until a target's entry tells.
+/// Time after which an accepted order is repeated if the target's entry doesn't show its effect. It
+/// covers the load itself and the delay until the entry is read.
 const ORDER_TIMEOUT: Millis = Millis(4_000);
-/// Targets for one load at a time; with more loads at once each takes longer.
+/// Number of targets per concurrent load. More loads at once slow each other down.
 const TARGETS_PER_LOAD: usize = 5;
-/// Loads at once that never slow each other.
+/// Number of concurrent loads that is always allowed, since so few don't slow each other down.
 const MIN_CONCURRENT_LOADS: usize = 2;
-/// A target that failed so often in a row isn't reached and isn't waited for.
+/// Number of consecutive failures from which on a target counts as unreachable and is ignored.
 const MAX_FAILURES: u32 = 2;
 
-/// A load that was ordered.
+/// A load that was ordered from a target.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Loading {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// The version.
+    /// Ordered version; 0 if the target did not accept the order.
     pub version: u64,
-    /// When it was ordered.
+    /// When the order was sent.
     pub since: Millis,
 }
 
-/// What is known when loads are planned.
+/// The state on which [`plan_loads`] decides.
 #[derive(Clone, Debug)]
 pub struct LoadView<'a> {
-    /// Usable targets of one service.
+    /// Usable targets of one service, reachable or not.
     pub targets: Vec<&'a Target>,
-    /// Which model each target follows.
+    /// Model that each target is assigned to.
     pub assigned: &'a HashMap<TargetName, ModelName>,
     /// Newest version of each model.
     pub newest_versions: &'a HashMap<ModelName, u64>,
-    /// Loads that were ordered.
+    /// Latest load that was ordered from each target.
     pub loading: &'a HashMap<TargetName, Loading>,
-    /// What happens to running requests.
+    /// What the targets do with running requests.
     pub mode: LoadMode,
-    /// The time.
+    /// Current time.
     pub now: Millis,
 }
 
-/// How urgent a load is; the first is the most urgent.
+/// The urgency of a load, most urgent first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Need {
-    /// Hardly any target can serve the model's newest step.
+    /// Fewer than two reachable targets can serve the model's current step.
     Short,
-    /// Too few targets will be able to serve the next step.
+    /// Fewer than half of the model's share of targets can serve the next step.
     Next,
-    /// The target can serve neither.
+    /// The target is too old for the current step.
     Behind,
-    /// The target has nothing else to do.
+    /// The target is idle, so the load delays nothing.
     Idle,
 }
 
-/// Returns when the next load may start, if some are in progress.
+/// Returns when the first load in progress ends, so that another may start; `None` if no load is in
+/// progress.
 pub fn next_load<'a>(
     loading: impl IntoIterator<Item = &'a Loading>,
     now: Millis,
@@ -67,13 +68,13 @@
     ends.filter(|end| *end > now).min()
 }
 
-/// Decides which targets load now.
+/// Decides which targets load which version now; returns the orders, most urgent first.
 ///
-/// Load pattern: each model gets a new version every few seconds, a step accepts the version before
-/// too, few targets may load at once, and a target serves nothing of a model while it loads it. So
-/// each model keeps half of its targets at the newest version: they serve this step and the next,
-/// and each target loads every other version. Models that hardly any reachable target can serve come
-/// first, with targets of other models if need be.
+/// Load pattern: each model gets a new version every few seconds, a step also accepts the previous
+/// version, only a few targets may load at once, and a target doesn't serve a model while it loads
+/// it. Therefore half of a model's targets are kept at the newest version: they serve the current
+/// step and the next one, and each target loads every second version. Models with fewer than two
+/// targets for the current step come first, and may use targets that are assigned to other models.
 pub fn plan_loads(view: &LoadView<'_>) -> Vec<LoadOrder> {
     let now = view.now;
     let max_loads = (view.targets.len() / TARGETS_PER_LOAD).max(MIN_CONCURRENT_LOADS);
@@ -106,7 +107,8 @@
         );
         let half = share.div_ceil(2).max(1);
         let own = |target: &Target| view.assigned.get(&target.entry.name) == Some(model);
-        // The most outdated first; those that run least lose least.
+        // Own targets come first, then the oldest versions, then the fewest running requests, which
+        // a load would delay.
         let mut behind: Vec<&(&Target, u64)> = versions
             .iter()
             .filter(|(target, at)| *at < newest && !view.is_loading(target))
@@ -150,7 +152,7 @@
 }
 
 impl LoadView<'_> {
-    /// Returns the version of a model that a target has, or will have soon.
+    /// Returns the version of a model that a target has, or has been ordered to load.
     fn expected(&self, target: &Target, model: &ModelName) -> u64 {
         let current = target.entry.models.get(model).copied().unwrap_or_default();
         let ordered = self.loading.get(&target.entry.name);
--- a/crates/godwitspool-host/src/duty/mod.rs
+++ b/crates/godwitspool-host/src/duty/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions of the duties: which target loads which version, what a window's report says.
+//! Decisions of the host that holds the duties: which target loads which version of a model.
 
 mod loads;
 
--- a/crates/godwitspool-host/src/version/configuration.rs
+++ b/crates/godwitspool-host/src/version/configuration.rs
@@ -5,81 +5,82 @@
 
 use crate::http::Bounds;
 
-/// A whole configuration of the operators.
+/// A complete configuration, as operators have written it.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Grows with each configuration.
+    /// Version of the configuration; grows with each one.
     pub version: u64,
-    /// Routes.
+    /// Routes, in no particular order: the longest matching prefix wins.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: HashMap<ServiceName, Service>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub bounds: Bounds,
-    /// Whose a key is. Empty where no workspaces are configured.
+    /// Workspace of each API key, by the key's digest. Empty if no workspaces are configured.
     pub keys: HashMap<KeyDigest, Workspace>,
-    /// Whether callers need keys.
+    /// Whether callers need an API key, which is so if workspaces are configured.
     pub require_keys: bool,
 }
 
-/// What may be repeated of a route's requests.
+/// How a route's requests run, and whether they may be retried.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 pub enum RouteKind {
-    /// Requests that may run at most once.
+    /// Requests that must run at most once.
     #[default]
     AtMostOnce,
-    /// Batches of items that run later.
+    /// Batches of items that run in the background.
     Batch,
     /// Requests that may run more than once.
     Idempotent,
-    /// Streams of events.
+    /// Requests that are answered with a stream of events.
     Stream,
 }
 
 /// A service's share of a route.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Split {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Its weight among the route's services.
+    /// Weight among the route's services; its share of requests is proportional.
     pub weight: u32,
 }
 
-/// Which requests go to which services, and how.
+/// A rule for requests to a host and path prefix: the services that serve them, and how.
 #[derive(Clone, Debug, Default)]
 pub struct Route {
-    /// Name.
+    /// Name of the route, for log lines.
     pub name: String,
-    /// Value of the host field.
+    /// Value of the `Host` field, compared without regard to case.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of its requests.
     pub kind: RouteKind,
-    /// Longest time that a request is kept waiting.
+    /// Maximum time for an answer; a caller's earlier deadline takes precedence.
     pub timeout: Option<Duration>,
-    /// Time within which an answer is worth most.
+    /// Latency goal, from which the hedging delay is derived; `None` uses a default delay.
     pub goal: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Services that serve it.
+    /// Services among which requests are split by weight.
     pub split: Vec<Split>,
-    /// Targets that one request may be sent to.
+    /// Maximum number of targets that one request is sent to. For batches, the number of failed
+    /// runs after which an item ends without a result.
     pub attempts: u32,
-    /// Whether no key is needed.
+    /// Whether callers need no API key.
     pub open: bool,
-    /// Whether a stream may go on at another target.
+    /// Whether a stream may be resumed at another target.
     pub resumable: bool,
-    /// How long after its submission an item must be tried.
+    /// How long after its submission an item must be retried.
     pub retention: Option<Duration>,
-    /// When the results of a batch are due after its submission.
+    /// Time from a batch's submission until its results are due.
     pub due: Option<Duration>,
-    /// Whether a result may hold tokens of one version only.
+    /// Whether all tokens of a result must come from one version of the model.
     pub single_version: bool,
 }
 
 impl Route {
-    /// Returns the service for a draw in `0.0..1.0`.
+    /// Returns the service for a random number in `0.0..1.0`; `None` if the route has no services.
     pub fn service(&self, draw: f64) -> Option<&ServiceName> {
         let total: u32 = self.split.iter().map(|split| split.weight).sum();
         let mut left = (draw * f64::from(total)) as u32;
@@ -92,42 +93,42 @@
     }
 }
 
-/// What operators say of a service.
+/// Settings of a service.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
-    /// Connections that one target takes.
+    /// Maximum number of connections to one target.
     pub connections: u32,
-    /// Models, for services of engines.
+    /// Models that its targets can load; empty for services without models.
     pub models: Vec<ModelName>,
-    /// Requests that an engine runs at once.
+    /// Number of requests that one target runs at once; 0 for services without models.
     pub slots: u32,
-    /// How many targets may be ordered.
+    /// Limits on the number of ordered targets; `None` if the service isn't scaled.
     pub scaling: Option<Scaling>,
 }
 
-/// How many targets of a service may be ordered in each data centre.
+/// Limits on the targets of a service that may be ordered in each data centre.
 #[derive(Clone, Debug, Default)]
 pub struct Scaling {
-    /// Least number.
+    /// Minimum number of targets.
     pub min: u32,
-    /// Greatest number.
+    /// Maximum number of targets.
     pub max: u32,
-    /// Time until an ordered target serves.
+    /// Time from an order until the target serves requests.
     pub boot: Duration,
-    /// Price of a target's second by data centre.
+    /// Price of a target per second in each data centre.
     pub prices: HashMap<Dc, f64>,
 }
 
-/// Why a caller isn't admitted to a route.
+/// Why a caller may not use a route.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum AuthorizationError {
-    /// No workspace has the key, or there is none.
+    /// The request has no API key, or the key belongs to no workspace.
     #[snafu(display("unknown key"))]
     Key,
 }
 
 impl Configuration {
-    /// Returns the route with the longest prefix of a path among those of a host.
+    /// Returns the host's route with the longest prefix that matches the path.
     ///
     /// ```
     /// use godwitspool_host::version::{Configuration, Route};
@@ -153,12 +154,11 @@
         fitting.max_by_key(|route| route.prefix.len())
     }
 
-    /// Returns the workspace that a key belongs to; `None` on open routes and where no keys are
-    /// configured.
+    /// Returns the workspace of a key; `None` on open routes and if callers need no keys.
     ///
     /// # Errors
     ///
-    /// When the route needs a key that no workspace has.
+    /// Fails if the route needs a key, and the key is missing or unknown.
     pub fn workspace(
         &self,
         route: Option<&Route>,
--- a/crates/godwitspool-host/src/version/fleet.rs
+++ b/crates/godwitspool-host/src/version/fleet.rs
@@ -8,111 +8,119 @@
 
 use crate::{batch::median_pace, process::RunReport};
 
-/// Time that a target needs to load a version, as a rule: the operators' sheets say 0.9 s, and the
-/// order and its notice take some of the rest. Loads that overlap more than planned take longer.
+/// Expected time from an order until a target has loaded the version: 0.9 s for the load itself as
+/// the operators state it, and some time for the order and its notice. Loads take longer if more of
+/// them overlap than planned.
 pub const LOAD_TIME: Millis = Millis(1_000);
-/// A load whose effect no entry or answer has shown after so long is taken as not carried out.
+/// Time after which a load counts as failed if no entry or answer has shown the new version.
 const LOAD_TIMEOUT: Millis = Millis(4_000);
-/// First pause of a target that failed; doubles with each further failure.
+/// Pause of a target after its first failure; doubles with each further consecutive failure.
 const MIN_FAILURE_BACKOFF: Millis = Millis(250);
-/// Longest pause of a target that failed: about the time in which a crashed one is back.
+/// Maximum pause of a failing target: about the time that a crashed target needs to restart.
 const MAX_FAILURE_BACKOFF: Millis = Millis(2_000);
-/// Pause of a target that said that it has no room or is loading weights. Loads take about a second.
+/// Pause of a target that refused a request because it is full or loading weights. It is a fraction
+/// of the second that a load takes.
 const REFUSED_BACKOFF: Millis = Millis(150);
-/// Pause of a target that fell silent, at least the rest of a load of weights.
+/// Pause of a target that stopped answering: at least the remaining time of a load of weights.
 const STALLED_BACKOFF: Millis = Millis(400);
-/// Weight of the newest answer in a target's smoothed time, as in TCP's round-trip estimate.
+/// Weight of the newest answer in a target's smoothed latency, as in TCP's round-trip estimate.
 const LATENCY_SMOOTHING: f64 = 0.125;
-/// Assumed time of a target that has answered nothing yet, in milliseconds.
+/// Assumed latency of a target that has not answered yet.
 const INITIAL_LATENCY_MS: f64 = 20.0;
-/// How long the number of a host's newest report is kept.
+/// How long the number of a host's newest report is kept to detect older ones.
 const REPORT_RETENTION: Millis = Millis(60_000);
-/// What another host told of its runs is forgotten after this time without news.
+/// Age after which another host's report of its running requests is ignored.
 const MAX_REPORT_AGE: Millis = Millis(500);
-/// A target's pace is forgotten after this time without news, so that one that was slow is tried
-/// again.
+/// Age after which a target's pace is ignored, so that a target that was slow is tried again.
 const MAX_PACE_AGE: Millis = Millis(3_000);
-/// A target this much slower than usual gets no items while others can take them.
+/// A target whose interval between events exceeds the median by this factor gets items only if no
+/// other target can take them.
 const SLOW_FACTOR: f64 = 1.6;
-/// Weight of the newest time between events in a target's pace.
+/// Weight of the newest interval between events in a target's pace.
 const PACE_SMOOTHING: f64 = 0.2;
-/// A removed target is kept for this long if the store was away just before: entries that lapsed
-/// meanwhile are back within two seconds.
+/// How long a removed target is kept if the store was unavailable just before: entries that expired
+/// during the outage are written again within two seconds.
 const LAPSE_GRACE: Millis = Millis(2_000);
 
-/// What a target says of itself.
+/// The entry with which a target registers itself in the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TargetEntry {
-    /// Name; a restarted target may keep it.
+    /// Name of the target. A restarted target may keep its name.
     pub name: TargetName,
-    /// The service that it serves.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Address.
+    /// Address for requests and orders.
     pub address: SocketAddr,
-    /// Data centre.
+    /// Data centre of the target.
     pub dc: Dc,
-    /// Requests that it serves at once.
+    /// Number of requests that the target runs at once.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether the target is draining: it must not get new requests.
     pub draining: bool,
-    /// Versions of its models.
+    /// Version of each model that the target has loaded.
     pub models: HashMap<ModelName, u64>,
-    /// When it started, in milliseconds from 1970.
+    /// When the target started, in milliseconds since 1970; tells restarts apart.
     pub born: u64,
 }
 
 /// How an exchange with a target ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered after so many milliseconds.
+    /// The target answered; holds the latency in milliseconds.
     Answered(f64),
-    /// The exchange was given up for reasons of the caller's.
+    /// The exchange was dropped for a reason that doesn't count against the target.
     Dropped,
-    /// The connection failed, broke or brought bytes that are no answer.
+    /// The connection failed or was closed early, or the answer was invalid.
     Failed,
-    /// It refused: no room, or loading.
+    /// The target refused the request because it is full or loading.
     Refused,
-    /// It fell silent and the request went on elsewhere.
+    /// The target stopped answering, and the request moved to another target.
     Stalled,
 }
 
-/// A target, with what this host has seen of it.
+/// A target with this host's observations of it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// What it says of itself.
+    /// The newest entry of the target, with versions that answers have shown since.
     pub entry: TargetEntry,
-    /// Requests of this host that run there.
+    /// Number of this host's requests that run at the target.
     pub running: u32,
-    /// Requests of other hosts that run there, by host, and when each told.
+    /// Number of other hosts' requests that run at the target and the time of the report, by
+    /// sender.
     pub remote_running: HashMap<u32, (u32, Millis)>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
-    /// Not chosen before this time unless nothing else is left.
+    /// End of its pause. Until then requests go to it only if all other targets are paused too, and
+    /// items of batches never do.
     pub paused_until: Millis,
-    /// Smoothed time of its answers in milliseconds.
+    /// Smoothed latency of its answers, in milliseconds.
     pub latency_ms: f64,
-    /// Smoothed time between a stream's events in milliseconds, and when it was learnt.
+    /// Smoothed interval between a stream's events in milliseconds, and the time of the last
+    /// update.
     pub pace: Option<(f64, Millis)>,
-    /// A load that it began: model, version, and when.
+    /// Last load that the target has begun: model, version and time.
     pub loading: Option<(ModelName, u64, Millis)>,
-    /// Removed at this time, while its entry may still come back.
+    /// When its entry vanished, if the entry may have expired only because the store was
+    /// unavailable.
     pub lapsed: Option<Millis>,
 }
 
-/// Where an item goes.
+/// The target that was chosen for an item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
-    /// Its address.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// The version that it should have by now, if neither its entry nor an answer has told yet.
+    /// Version that the target should have loaded by now; `None` if its entry or an answer has
+    /// confirmed the version.
     pub expected: Option<u64>,
-    /// Its time between events in milliseconds, if known.
+    /// Smoothed interval between its events in milliseconds, if known.
     pub pace: Option<f64>,
 }
 
-/// All targets. Decides where requests go; holds no clock or lock.
+/// All known targets, from which the target of each request is chosen. Callers provide the time and
+/// the locking.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     targets: HashMap<TargetName, Target>,
@@ -121,7 +129,8 @@
 }
 
 impl Target {
-    /// Returns the version of a model with which it serves now; `None` while it loads one.
+    /// Returns the version of a model that the target serves now, and whether it is expected rather
+    /// than confirmed; `None` while the target loads the model.
     fn version(&self, model: &ModelName, now: Millis) -> Option<(u64, bool)> {
         let confirmed = self.entry.models.get(model).copied().unwrap_or_default();
         match &self.loading {
@@ -134,7 +143,7 @@
         }
     }
 
-    /// Returns the requests that run there, those of other hosts included.
+    /// Returns the number of requests that run at the target, including those of other hosts.
     pub fn total_running(&self, now: Millis) -> u32 {
         let others = self
             .remote_running
@@ -145,7 +154,8 @@
 }
 
 impl Fleet {
-    /// Takes over a target's entry. Entries of an earlier start of it are left out.
+    /// Adds or updates a target from its entry. Returns false if the entry is from an earlier start
+    /// of the target and was ignored.
     pub fn apply(&mut self, entry: TargetEntry) -> bool {
         match self.targets.get_mut(&entry.name) {
             Some(target) if target.entry.born > entry.born => false,
@@ -177,8 +187,8 @@
         }
     }
 
-    /// Removes a target. One whose entry may have lapsed only because the store was away is kept
-    /// until [`Self::expire`].
+    /// Removes a target. If the store was unavailable, the entry may have expired only because of
+    /// that, and the target is kept until [`Self::expire`] removes it, unless it is draining.
     pub fn remove(&mut self, name: &TargetName, now: Millis, store_unavailable: bool) {
         match self.targets.get_mut(name) {
             Some(target) if store_unavailable && !target.entry.draining => {
@@ -190,7 +200,8 @@
         }
     }
 
-    /// Drops targets whose entries haven't come back.
+    /// Removes the targets whose entries have not come back within two seconds, and returns their
+    /// names.
     pub fn expire(&mut self, now: Millis) -> Vec<TargetName> {
         let is_expired = |target: &Target| target.lapsed.is_some_and(|at| now >= at + LAPSE_GRACE);
         let gone: Vec<TargetName> = self
@@ -205,12 +216,12 @@
         gone
     }
 
-    /// Returns a target.
+    /// Returns the target with this name, if it is known.
     pub fn get(&self, name: &TargetName) -> Option<&Target> {
         self.targets.get(name)
     }
 
-    /// Returns the targets of a service that may be used, in the order of their names.
+    /// Returns the targets of a service that are not draining, ordered by name.
     pub fn usable(&self, service: &ServiceName) -> Vec<&Target> {
         let targets = self.targets.values();
         let mut usable: Vec<&Target> = targets
@@ -227,7 +238,7 @@
         }
     }
 
-    /// Takes over how a request ended.
+    /// Records how a request ended, and pauses the target if it failed, refused or stalled.
     pub fn finish(&mut self, name: &TargetName, outcome: Outcome, now: Millis) {
         let Some(target) = self.targets.get_mut(name) else {
             return;
@@ -250,15 +261,16 @@
         }
     }
 
-    /// Takes over the version of a model that a target's answer named.
+    /// Records the version of a model that a target's answer has shown.
     pub fn observe_version(&mut self, name: &TargetName, model: &ModelName, version: u64) {
         if let Some(target) = self.targets.get_mut(name) {
             target.entry.models.insert(model.clone(), version);
         }
     }
 
-    /// Chooses the target for a request: the one that is expected to answer first, those of the
-    /// own data centre before equals. Paused ones come last.
+    /// Chooses the target for a request: the one with the lowest expected latency, which is
+    /// weighted by 1.5 for targets in other data centres. Paused targets come last, and targets in
+    /// `tried` are left out.
     pub fn choose(
         &self,
         service: &ServiceName,
@@ -282,14 +294,15 @@
         })
     }
 
-    /// Takes over that a target has begun to load a version.
+    /// Records that a target has begun to load a version.
     pub fn begin_load(&mut self, name: &TargetName, model: &ModelName, version: u64, now: Millis) {
         if let Some(target) = self.targets.get_mut(name) {
             target.loading = Some((model.clone(), version, now));
         }
     }
 
-    /// Takes over another host's report of its runs.
+    /// Applies another host's report of its running requests, unless a newer one has arrived
+    /// before.
     pub fn apply_report(&mut self, report: &RunReport, now: Millis) {
         let newest = self.reports.get(&report.sender).map(|(number, _)| *number);
         if newest.is_some_and(|newest| newest > report.number) {
@@ -308,7 +321,7 @@
         }
     }
 
-    /// Takes over the time between two events of a stream.
+    /// Records the interval between two events of a stream.
     pub fn record_pace(&mut self, name: &TargetName, interval_ms: f64, now: Millis) {
         if let Some(target) = self.targets.get_mut(name) {
             let known = target.pace.filter(|(_, at)| now - *at < MAX_PACE_AGE);
@@ -319,7 +332,7 @@
         }
     }
 
-    /// Returns the usual time between events at a service's targets, in milliseconds.
+    /// Returns the median interval between events at a service's targets, in milliseconds.
     pub fn median_pace(&self, service: &ServiceName, now: Millis) -> Option<f64> {
         let usable = self.usable(service).into_iter();
         let candidates =
@@ -327,11 +340,12 @@
         median_pace(candidates.map(|(pace, _)| pace).collect())
     }
 
-    /// Chooses the target for an item of a batch: one whose version fits, with a free place, of
-    /// those dealt to the model before others, and the least loaded of them.
+    /// Chooses the target for an item of a batch, other than `excluded`: it must have a fitting
+    /// version and a free slot, and must not be paused. Slow targets come last, then targets that
+    /// are assigned to other models; among equals the least loaded one is chosen.
     ///
-    /// Load pattern: a step of some sixty items at once. Items beyond the places wait at this host,
-    /// where their order can still change, and not in a target's queue.
+    /// Load pattern: a step submits some sixty items at once. Items for which there is no free slot
+    /// wait at this host, where their order can still change, instead of in a target's queue.
     pub fn place(
         &self,
         service: &ServiceName,
@@ -370,8 +384,8 @@
         })
     }
 
-    /// Deals a service's targets to its models, each to one, as evenly as possible and so that a
-    /// change of the targets moves few of the others.
+    /// Assigns each target of a service to one of its models, as evenly as possible. Rendezvous
+    /// hashing keeps most assignments when a target joins or leaves.
     pub fn assign_models(
         &self,
         service: &ServiceName,
@@ -398,7 +412,7 @@
             }
             let count = counts.entry(model).or_default();
             if *count == share {
-                // One of the targets that don't divide evenly.
+                // The model may get one of the targets that are left over after an even division.
                 if remainder == 0 {
                     full.insert(model);
                     continue;
--- a/crates/godwitspool-host/src/version/mirror.rs
+++ b/crates/godwitspool-host/src/version/mirror.rs
@@ -4,35 +4,36 @@
 
 use crate::store::{Record, Store, StoreError, StoredRecord, Tail, Topic, read_all};
 
-/// A copy of a keyed partition, kept current by reading its tail. Only moves forward.
+/// A copy of a keyed partition that is updated by reading the partition's tail. Records that are
+/// older than the known ones are ignored.
 #[derive(Debug, Default)]
 pub struct Mirror {
     records: BTreeMap<String, (u64, Option<Vec<u8>>)>,
-    /// Offset behind the last record read; `None` until the keys were read once.
+    /// Offset after the last record read; `None` until the keys have been read once.
     next: Option<u64>,
-    /// When the store answered last.
+    /// Time of the last update from the store; `None` before the first one.
     pub confirmed: Option<Millis>,
 }
 
-/// A record that changed.
+/// A change of a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MirrorChange {
-    /// Offset.
+    /// Offset of the new record.
     pub offset: u64,
-    /// Key.
+    /// Key that has changed.
     pub key: String,
-    /// New content; `None` once removed.
+    /// New value; `None` if the key was removed.
     pub value: Option<Vec<u8>>,
 }
 
 impl Mirror {
-    /// Returns what a wait for news needs: the offset to read from, or `None` when the keys are to
-    /// be read anew.
+    /// Returns the offset from which [`Self::fetch`] continues; `None` if all keys have to be read.
     pub fn next(&self) -> Option<u64> {
         self.next
     }
 
-    /// Takes over records and returns those that are newer than what was known.
+    /// Applies records and returns the changes. Records that are not newer than the known ones are
+    /// ignored.
     pub fn apply(&mut self, records: impl IntoIterator<Item = StoredRecord>) -> Vec<MirrorChange> {
         let mut changes = Vec::new();
         for StoredRecord { offset, record } in records {
@@ -47,7 +48,8 @@
         changes
     }
 
-    /// Takes over all keys of the partition: keys that are known and not among them are gone.
+    /// Replaces the content by all keys of the partition. Known keys that are not among them, and
+    /// that are older than `end`, count as removed.
     pub fn replace(&mut self, records: Vec<StoredRecord>, end: u64) -> Vec<MirrorChange> {
         let held: Vec<&str> = records
             .iter()
@@ -60,7 +62,7 @@
                 value.is_some() && *offset < end && !held.contains(&key.as_str())
             })
             .map(|(key, (offset, _))| StoredRecord {
-                // Just behind the record that was known, so that a later record counts again.
+                // One more than the known offset, so that any later record of the key is newer.
                 offset: offset + 1,
                 record: Record::tombstone(key.clone()),
             })
@@ -71,17 +73,18 @@
         changes
     }
 
-    /// Takes over a tail.
+    /// Applies a tail and continues after it.
     pub fn follow(&mut self, tail: Tail) -> Vec<MirrorChange> {
         self.next = Some(tail.next);
         self.apply(tail.records)
     }
 
-    /// Reads all keys, or what follows the last read.
+    /// Reads the records from `next` on, waiting up to `wait` for the first one; reads all keys if
+    /// `next` is `None` or no longer retained.
     ///
     /// # Errors
     ///
-    /// When the store doesn't answer.
+    /// Fails if the store doesn't answer.
     pub fn fetch(
         store: &dyn Store,
         topic: Topic,
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Takes over what was fetched.
+    /// Applies the outcome of [`Self::fetch`] and returns the changes.
     pub fn update(&mut self, fetched: Fetched, now: Millis) -> Vec<MirrorChange> {
         self.confirmed = Some(now);
         match fetched {
@@ -109,16 +112,16 @@
     }
 }
 
-/// What a fetch brought.
+/// The outcome of [`Mirror::fetch`].
 #[derive(Clone, Debug)]
 pub enum Fetched {
-    /// All keys.
+    /// All keys of the partition.
     All {
         /// Newest record of each key.
         records: Vec<StoredRecord>,
-        /// Offset from which the tail goes on.
+        /// Offset from which the tail continues.
         end: u64,
     },
-    /// What follows the last read.
+    /// Records that follow the last read.
     Tail(Tail),
 }
--- a/crates/godwitspool-host/src/version/mod.rs
+++ b/crates/godwitspool-host/src/version/mod.rs
@@ -1,4 +1,5 @@
-//! What lives for a version: configuration, targets, mirrors of the store's keyed partitions.
+//! State that is replaced by newer versions: the configuration, the targets, and mirrors of the
+//! store's keyed partitions.
 
 mod configuration;
 mod fleet;
