--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -413,9 +413,7 @@
                     | BatchRecord::Result { .. }
                     | BatchRecord::ResultChunk { .. },
                 ) => {}
-                Err(error) => {
-                    log::warn!(partition = part, error:%; "undecodable batch record skipped")
-                }
+                Err(error) => log::warn!(partition = part, error:%; "batch record skipped"),
             }
         }
         changes
--- a/crates/godwitspool-host/src/batch/stored_results.rs
+++ b/crates/godwitspool-host/src/batch/stored_results.rs
@@ -23,7 +23,7 @@
                 .map_err(|error| error.to_string())
                 .and_then(|record| listed.add(record));
             if let Err(reason) = added {
-                log::warn!(partition = part, reason:%; "undecodable result record skipped");
+                log::warn!(partition = part, reason:%; "result record skipped");
             }
         }
         listed
