--- a/crates/godwitspool-host/tests/batches.rs
+++ b/crates/godwitspool-host/tests/batches.rs
@@ -1,4 +1,4 @@
-//! Decisions over a batch's items: order, failures, places in the store.
+//! Batches: the order of items, decisions after failed runs, ownership, and records in the store.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -21,20 +21,20 @@
 use godwitspool_types::Millis;
 use rstest::rstest;
 
-/// Events of the items of a step, recorded from a calm day in the order of their ends, then dealt
-/// to groups of four in turn.
+/// Number of events of each item of a step, recorded on a day with low load in the order in which
+/// the items ended. The items are assigned to groups of four in turn.
 const EVENTS: [u64; 68] = [
     4, 5, 7, 12, 15, 7, 22, 15, 6, 32, 9, 21, 7, 30, 22, 7, 23, 14, 9, 7, 28, 28, 41, 18, 31, 21,
     21, 7, 8, 32, 22, 9, 34, 41, 29, 26, 5, 13, 8, 12, 39, 12, 12, 40, 11, 19, 12, 22, 25, 45, 20,
     38, 28, 21, 34, 28, 31, 63, 54, 41, 69, 66, 108, 119, 136, 176, 186, 152,
 ];
-/// Groups of the step, and those that its trainer waits for (nine tenths).
+/// Number of groups of the step, and of those that its trainer waits for (nine tenths).
 const GROUPS: usize = 17;
 const WANTED: u32 = 16;
-/// Places that have the step's version when it arrives: half of a model's targets.
-const PLACES: usize = 24;
+/// Slots at the targets that have the step's version when it arrives: half of a model's targets.
+const SLOTS: usize = 24;
 
-/// Returns the step, with hints that are off by up to half either way.
+/// Returns the step with hints that deviate from the actual lengths by up to 50 %.
 fn step() -> Submission {
     let items = EVENTS.iter().enumerate().map(|(index, events)| {
         let off = [0.5, 0.8, 1.0, 1.3, 1.5][index * 7 % 5];
@@ -52,14 +52,15 @@
     }
 }
 
-/// Runs items in an order on so many places; returns when the wanted number of groups is whole.
+/// Runs the items in the given order on all slots; returns when the wanted number of groups is
+/// complete, in units of one event.
 fn wanted_at(submission: &Submission, order: &[usize]) -> u64 {
-    let mut places: BinaryHeap<Reverse<u64>> = (0..PLACES).map(|_| Reverse(0)).collect();
+    let mut free_slots: BinaryHeap<Reverse<u64>> = (0..SLOTS).map(|_| Reverse(0)).collect();
     let mut ends = vec![0; submission.items.len()];
     for item in order {
-        let Reverse(free) = places.pop().unwrap();
+        let Reverse(free) = free_slots.pop().unwrap();
         ends[*item] = free + EVENTS[*item];
-        places.push(Reverse(ends[*item]));
+        free_slots.push(Reverse(ends[*item]));
     }
     let groups = godwitspool_host::batch::groups(&submission.items);
     let last = |items: Vec<usize>| items.into_iter().map(|item| ends[item]).max().unwrap();
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_recorded_step_is_whole_sooner_than_in_the_order_of_arrival() {
+fn a_recorded_step_completes_sooner_than_with_simple_orders() {
     let submission = step();
     let arrival: Vec<usize> = (0..submission.items.len()).collect();
     let shortest_first = {
@@ -79,7 +80,7 @@
     };
     let ordered = wanted_at(&submission, &order_items(&submission));
     let simple = wanted_at(&submission, &arrival).min(wanted_at(&submission, &shortest_first));
-    assert!(ordered < simple, "{ordered} events against {simple}");
+    assert!(ordered < simple, "{ordered} events, not below {simple}");
 }
 
 #[test]
@@ -91,8 +92,9 @@
 }
 
 #[test]
-fn a_run_on_a_slow_target_ends_sooner_for_its_move() {
-    // 60 events at 160 ms, while others take 40 ms; a move costs the reading of the tokens so far.
+fn moving_a_run_off_a_slow_target_shortens_it() {
+    // The run has 60 events at 160 ms each, other targets need 40 ms per event. A move costs the
+    // time in which the other target processes the tokens generated so far.
     let (slow, usual, events, reading) = (160, 40, 60, 10);
     let mut pace = Pace::default();
     let mut at = 0;
@@ -115,7 +117,7 @@
     }
     assert!(
         at < events * slow / 2,
-        "{at} ms against {} ms",
+        "{at} ms, not below half of {} ms",
         events * slow
     );
 }
@@ -126,7 +128,10 @@
 #[case(RunView { answering: true, silent: Millis(900), pace: Pace { interval_ms: 40.0, events: 9 }, median_ms: Some(40.0), moves: 1 }, None)]
 #[case(RunView { answering: false, silent: Millis(900), pace: Pace::default(), median_ms: Some(40.0), moves: 0 }, Some(Move::Queued))]
 #[case(RunView { answering: true, silent: Millis(9_000), pace: Pace::default(), median_ms: None, moves: 9 }, None)]
-fn moves_follow_silence_queue_and_pace(#[case] run: RunView, #[case] expected: Option<Move>) {
+fn moves_depend_on_silence_queue_wait_and_pace(
+    #[case] run: RunView,
+    #[case] expected: Option<Move>,
+) {
     assert_eq!(decide_move(&run), expected);
 }
 
@@ -145,7 +150,7 @@
 }
 
 #[test]
-fn only_failures_of_the_target_use_attempts_up() {
+fn only_reported_failures_count_as_attempts() {
     let mut batch = batch(1, 2);
     for failure in [
         RunFailure::Broken,
@@ -166,7 +171,7 @@
 }
 
 #[test]
-fn what_was_generated_stays_unless_it_cant_be_used() {
+fn partial_output_is_kept_unless_it_is_unusable() {
     let mut batch = batch(1, 3);
     batch.items[0].progress.version = Some(4);
     batch.items[0].progress.push(1, b"a");
@@ -179,7 +184,7 @@
 #[rstest]
 #[case(1_000)]
 #[case(600)]
-fn a_submission_survives_its_records(#[case] record_bytes: usize) {
+fn a_submission_can_be_read_from_its_records(#[case] record_bytes: usize) {
     let bounds = StoreBounds {
         record_bytes,
         call_bytes: 2_000,
@@ -192,7 +197,7 @@
     let mut whole = None;
     for (offset, record) in calls.into_iter().flatten().enumerate() {
         assert!(record.value.as_ref().unwrap().len() <= record_bytes);
-        assert!(whole.is_none(), "the closing record comes last");
+        assert!(whole.is_none(), "the commit record comes last");
         let offset = offset as u64;
         match BatchRecord::read(StoredRecord { offset, record }).unwrap() {
             BatchRecord::Chunk { bytes: part, .. } => bytes.extend(part),
@@ -206,7 +211,7 @@
 }
 
 #[test]
-fn results_are_shown_only_once_they_are_listed_and_under_the_owners_epoch() {
+fn results_are_readable_only_once_published_under_the_owners_epoch() {
     let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
     let (sender, _receiver) = mpsc::channel();
@@ -225,7 +230,7 @@
         other => panic!("{other:?}"),
     };
     registry.publish_results(part, 6, std::slice::from_ref(&finished));
-    assert_eq!(read(), 0, "an earlier owner's results aren't taken over");
+    assert_eq!(read(), 0, "results of an earlier owner are ignored");
     registry.publish_results(part, 7, std::slice::from_ref(&finished));
     assert_eq!(read(), 1);
     registry.close(part, 6);
@@ -241,11 +246,11 @@
     );
 }
 
-/// Load pattern: an item crashes each target that begins to run it, so each run breaks before its
-/// first event, and a target is lost for seconds. An item that is tried again at once would lose
-/// a target every tenth of a second.
+/// Load pattern: an item crashes each target that runs it, so each run breaks before its first
+/// event and takes a target down for seconds. If the item were retried without a longer delay, it
+/// would crash a target every tenth of a second.
 #[test]
-fn an_item_that_crashes_its_targets_is_held_back() {
+fn an_item_that_crashes_its_targets_is_delayed() {
     let mut suspect = batch(1, 2);
     let mut now = Millis(0);
     let mut runs = 0;
@@ -258,12 +263,12 @@
             Err(next) => now = next.unwrap(),
         }
     }
-    // The first three in quick succession, then at 4.7 s.
-    assert!(runs <= 5, "{runs} targets lost in the time of a step");
+    // The first three runs start within 200 ms, the fourth at 4.7 s.
+    assert!(runs <= 5, "{runs} targets crashed in 12 s");
 }
 
 #[test]
-fn an_item_whose_runs_get_on_is_not_held_back() {
+fn an_item_whose_runs_make_progress_is_not_delayed() {
     let mut item = batch(1, 2);
     for round in 1..20 {
         item.items[0].progress = progress(round);
@@ -272,7 +277,7 @@
     }
 }
 
-/// Returns what an item has generated after so many events.
+/// Returns the partial output of an item after the given number of events.
 fn progress(events: u64) -> ItemProgress {
     let mut progress = ItemProgress {
         version: Some(3),
@@ -285,7 +290,7 @@
 }
 
 #[test]
-fn an_earlier_owner_yields_to_a_higher_epoch_and_to_no_lower_one() {
+fn a_partition_is_lost_to_a_higher_epoch_but_not_to_a_lower_one() {
     let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
     let (sender, _receiver) = mpsc::channel();
@@ -299,7 +304,7 @@
 }
 
 #[test]
-fn only_news_of_running_items_is_saved_and_removed_with_its_batch() {
+fn only_new_events_are_saved_and_a_closed_batch_removes_its_progress() {
     let bounds = StoreBounds::default();
     let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
@@ -318,18 +323,18 @@
             .collect::<Vec<_>>()
     };
     advance(19);
-    assert_eq!(keys(), [], "too little to be worth a record");
+    assert_eq!(keys(), [], "too few new events for a record");
     advance(30);
     assert_eq!(keys(), [("b/p00000000".to_owned(), true)]);
     advance(35);
-    assert_eq!(keys(), [], "saved not long ago");
+    assert_eq!(keys(), [], "too few events since the last record");
     registry.end(part, "b");
     assert_eq!(keys(), [("b/p00000000".to_owned(), false)]);
-    assert_eq!(keys(), [], "removed once");
+    assert_eq!(keys(), [], "the tombstone is written only once");
 }
 
 #[test]
-fn a_partition_that_is_given_up_leaves_everything_that_was_generated() {
+fn closing_a_partition_returns_all_unsaved_progress() {
     let bounds = StoreBounds::default();
     let registry = BatchRegistry::new(4).unwrap();
     let part = partition_of("b", 4);
@@ -341,7 +346,7 @@
     assert_eq!(registry.owned(), []);
     assert!(
         receiver.recv().is_err(),
-        "the writer ends once it is through"
+        "the channel to the writer is closed"
     );
     let offset = 0;
     let read: Vec<BatchRecord> = records
@@ -362,11 +367,15 @@
     next.resume(1, saved.clone());
     assert_eq!(next.items[1].progress, progress(3));
     next.resume(1, progress(9));
-    assert_eq!(next.items[1].progress, progress(3), "the first one holds");
+    assert_eq!(
+        next.items[1].progress,
+        progress(3),
+        "later calls change nothing"
+    );
 }
 
 #[test]
-fn progress_that_no_record_holds_is_left_out() {
+fn progress_that_does_not_fit_into_a_record_is_not_saved() {
     let bounds = StoreBounds {
         record_bytes: 300,
         ..StoreBounds::default()
@@ -375,7 +384,7 @@
     assert!(BatchRecord::of_progress("b", 0, &progress(100), &bounds).is_none());
 }
 
-/// Returns a result whose output has so many bytes.
+/// Returns a result with an output of the given size.
 fn result(item: u32, bytes: usize) -> ItemResult {
     ItemResult {
         item,
@@ -385,7 +394,7 @@
     }
 }
 
-/// Numbers records as the store does.
+/// Adds offsets to records, as the store does.
 fn stored(records: impl IntoIterator<Item = Record>) -> Vec<StoredRecord> {
     let records = records.into_iter().enumerate();
     records
@@ -429,7 +438,7 @@
     let (_, removed) = BatchRecord::of_removal(&submission, &shared, &bounds);
     assert!(removed.iter().all(|record| record.value.is_none()));
     let removed: Vec<String> = removed.into_iter().map(|record| record.key).collect();
-    assert_eq!(removed, keys, "every part is removed");
+    assert_eq!(removed, keys, "every chunk is removed");
 }
 
 #[test]
--- a/crates/godwitspool-host/tests/fleet.rs
+++ b/crates/godwitspool-host/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Choice of targets, by entries, own counts and what other hosts tell.
+//! Choice of targets based on their entries, own observations and reports of other hosts.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn entries_of_an_earlier_start_are_left_out() {
+fn entries_of_an_earlier_start_are_ignored() {
     let mut fleet = fleet([entry("a", 3)]);
     let mut older = entry("a", 1);
     older.born = 5;
@@ -51,19 +51,19 @@
     assert_eq!(
         place(&fleet, 3, 0),
         None,
-        "a restarted target has nothing of before"
+        "a restarted target has lost its versions"
     );
 }
 
 #[test]
-fn a_late_entry_takes_no_version_back() {
+fn an_outdated_entry_does_not_revert_a_version() {
     let mut fleet = fleet([entry("a", 3)]);
     fleet.apply(entry("a", 2));
     assert_eq!(place(&fleet, 3, 0).as_deref(), Some("a"));
 }
 
 #[test]
-fn an_entry_that_vanished_while_the_store_was_away_gets_two_seconds() {
+fn a_target_is_kept_for_two_seconds_if_its_entry_vanished_in_an_outage() {
     let mut fleet = fleet([entry("a", 1), entry("b", 1)]);
     fleet.remove(&TargetName::from("a"), Millis(1_000), true);
     fleet.remove(&TargetName::from("b"), Millis(1_000), false);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing() {
+fn a_draining_target_is_not_chosen() {
     let mut leaving = entry("a", 1);
     leaving.draining = true;
     let fleet = fleet([leaving, entry("b", 1)]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_failing_target_is_paused_ever_longer_and_then_tried_again() {
+fn a_failing_target_is_paused_with_growing_backoff_and_tried_again() {
     let mut fleet = fleet([entry("a", 1)]);
     let name = TargetName::from("a");
     let mut pauses = Vec::new();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn runs_of_other_hosts_count_until_their_report_is_old() {
+fn running_requests_of_other_hosts_count_until_their_report_is_old() {
     let mut fleet = fleet([entry("a", 1)]);
     let report = RunReport {
         sender: 7,
@@ -115,7 +115,7 @@
     assert_eq!(
         place(&fleet, 1, 200),
         None,
-        "every place is taken by another host"
+        "every slot is taken by another host"
     );
     let older = RunReport {
         number: 1,
@@ -126,17 +126,17 @@
     assert_eq!(
         place(&fleet, 1, 200),
         None,
-        "a datagram that overtook another changes nothing"
+        "a report that arrives out of order is ignored"
     );
     assert_eq!(
         place(&fleet, 1, 700).as_deref(),
         Some("a"),
-        "a silent host's runs are forgotten"
+        "an old report is ignored"
     );
 }
 
 #[test]
-fn a_loading_target_serves_nothing_and_then_the_new_version() {
+fn a_loading_target_is_not_chosen_and_then_serves_the_new_version() {
     let mut fleet = fleet([entry("a", 1)]);
     let (name, model) = (TargetName::from("a"), ModelName::from("m"));
     fleet.begin_load(&name, &model, 2, Millis(0));
@@ -148,7 +148,7 @@
     assert_eq!(
         place.expected,
         Some(2),
-        "the version is named to the target, which checks it"
+        "the request names the expected version, which the target checks"
     );
     fleet.observe_version(&name, &model, 2);
     let place = fleet
@@ -172,12 +172,12 @@
     assert_eq!(
         place(&fleet, 1, 5_000).as_deref(),
         Some("a"),
-        "its pace is forgotten"
+        "its old pace is ignored"
     );
 }
 
 #[test]
-fn targets_are_dealt_evenly_and_few_move_when_one_leaves() {
+fn targets_are_assigned_evenly_and_few_move_when_one_leaves() {
     let models: Vec<ModelName> = ["x", "y", "z"].map(ModelName::from).to_vec();
     let service = ServiceName::from("engine");
     let names: Vec<String> = (0..11).map(|number| format!("t{number}")).collect();
--- a/crates/godwitspool-host/tests/loads.rs
+++ b/crates/godwitspool-host/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Loads of versions, replayed over the cadence of a deployment's trainers.
+//! Planning of loads, replayed with the cadence of a deployment's trainers.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -11,16 +11,17 @@
 };
 use godwitspool_types::{Dc, Millis, ModelName, ServiceName, TargetName};
 
-/// Targets, models, and time between two versions of a model, as on the smaller deployment.
+/// Number of targets and models, and time between two versions of a model, as in the smaller
+/// deployment.
 const TARGETS: usize = 11;
 const MODELS: usize = 3;
 const PERIOD_MS: u64 = 4_000;
-/// Steps of the replay.
+/// Number of steps of the replay.
 const STEPS: u64 = 10;
-/// Time between two looks at what is due.
-const LOOK_MS: usize = 50;
-/// Loads that don't slow each other.
-const LOADS: usize = 2;
+/// Interval between two runs of the planner.
+const POLL_INTERVAL_MS: usize = 50;
+/// Number of concurrent loads that don't slow each other down.
+const CONCURRENT_LOADS: usize = 2;
 
 fn model(number: usize) -> ModelName {
     ModelName::from(format!("m{number}"))
@@ -43,8 +44,8 @@
     fleet
 }
 
-/// Replays the cadence under a policy; returns the least number of targets that could serve a step
-/// when it arrived, and the longest load in milliseconds.
+/// Replays the cadence with a policy. Returns the minimum number of targets that could serve a step
+/// when it arrived, and the duration of the longest load in milliseconds.
 fn replay(policy: impl Fn(&LoadView<'_>) -> Vec<LoadOrder>) -> (usize, u64) {
     let mut fleet = fleet();
     let service = ServiceName::from("engine");
@@ -54,7 +55,7 @@
     let mut loading: HashMap<TargetName, Loading> = HashMap::new();
     let mut running: Vec<(TargetName, ModelName, u64, u64)> = Vec::new();
     let (mut least, mut longest) = (TARGETS, 0);
-    for at in (0..STEPS * PERIOD_MS).step_by(LOOK_MS) {
+    for at in (0..STEPS * PERIOD_MS).step_by(POLL_INTERVAL_MS) {
         let now = Millis(at);
         running.retain(|(target, model, version, ends)| {
             if *ends <= at {
@@ -62,10 +63,10 @@
             }
             *ends > at
         });
-        // Models get their versions a third of the period apart.
+        // Models get their versions a third of a period apart.
         for (number, model) in models.iter().enumerate() {
             let phase = number as u64 * PERIOD_MS / MODELS as u64;
-            if at >= PERIOD_MS && (at - phase) % PERIOD_MS < LOOK_MS as u64 {
+            if at >= PERIOD_MS && (at - phase) % PERIOD_MS < POLL_INTERVAL_MS as u64 {
                 let version = named.get_mut(model).unwrap();
                 *version += 1;
                 let needed = *version - 1;
@@ -84,8 +85,8 @@
             now,
         });
         for order in orders {
-            // Loads share what two of them get.
-            let slowed = (running.len() + 1).div_ceil(LOADS) as u64;
+            // More than two concurrent loads share the bandwidth of two.
+            let slowed = (running.len() + 1).div_ceil(CONCURRENT_LOADS) as u64;
             let ends = at + LOAD_TIME.0 * slowed;
             let load = Loading {
                 model: order.model.clone(),
@@ -100,7 +101,7 @@
     (least, longest)
 }
 
-/// Orders every target that is behind at once.
+/// Orders all outdated targets to load at once.
 fn all_at_once(view: &LoadView<'_>) -> Vec<LoadOrder> {
     let behind = view.targets.iter().filter_map(|target| {
         let name = &target.entry.name;
@@ -122,16 +123,16 @@
 }
 
 #[test]
-fn each_step_finds_targets_with_its_version_and_few_load_at_once() {
+fn each_step_finds_a_target_and_loads_do_not_slow_each_other() {
     let (least, longest) = replay(plan_loads);
-    assert!(least >= 1, "a step found no target with its version");
-    assert_eq!(longest, LOAD_TIME.0, "loads slowed each other");
+    assert!(least >= 1, "no target could serve a step");
+    assert_eq!(longest, LOAD_TIME.0, "loads slowed each other down");
     let (_, simple) = replay(all_at_once);
-    assert!(longest < simple, "{longest} ms against {simple} ms");
+    assert!(longest < simple, "{longest} ms, not below {simple} ms");
 }
 
 #[test]
-fn a_model_that_nothing_serves_comes_first_and_borrows() {
+fn a_model_without_targets_comes_first_and_uses_targets_of_others() {
     let fleet = fleet();
     let service = ServiceName::from("engine");
     let models: Vec<ModelName> = (0..MODELS).map(model).collect();
@@ -145,7 +146,7 @@
         mode: LoadMode::Continue,
         now: Millis(10_000),
     });
-    assert_eq!(orders.len(), LOADS);
+    assert_eq!(orders.len(), CONCURRENT_LOADS);
     assert!(
         orders
             .iter()
@@ -154,7 +155,7 @@
 }
 
 #[test]
-fn a_target_that_isnt_reached_gets_no_order() {
+fn an_unreachable_target_gets_no_order() {
     use godwitspool_host::version::Outcome;
 
     let mut fleet = fleet();
--- a/crates/godwitspool-host/tests/mirror.rs
+++ b/crates/godwitspool-host/tests/mirror.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's keyed partitions.
+//! Mirrors of the store's keyed partitions.
 
 use godwitspool_host::{
     store::{Record, StoredRecord, Tail},
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_copy_only_moves_forward() {
+fn a_mirror_ignores_older_records() {
     let mut mirror = Mirror::default();
     assert_eq!(mirror.next(), None);
     let all = Fetched::All {
@@ -37,12 +37,12 @@
     };
     assert!(
         mirror.update(Fetched::Tail(again), Millis(2)).is_empty(),
-        "older records change nothing"
+        "older records are ignored"
     );
 }
 
 #[test]
-fn keys_that_vanished_with_the_history_are_removed_and_may_come_back() {
+fn keys_that_vanished_with_the_retained_log_are_removed_and_may_come_back() {
     let mut mirror = Mirror::default();
     let first = Fetched::All {
         records: vec![stored(1, "a", Some("1")), stored(2, "b", Some("1"))],
