--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -72,8 +72,8 @@
 }
 
 impl Owner {
-    /// Starts to take over a partition. `place` holds its number and the epoch, which no other
-    /// owner may ever use.
+    /// Starts to take over a partition. `ownership` holds the number of the partition and the
+    /// epoch, which must not be used by any other owner, ever.
     ///
     /// # Errors
     ///
@@ -83,9 +83,9 @@
         registry: Arc<BatchRegistry>,
         bounds: StoreBounds,
         ttl: Duration,
-        place: (u32, u64),
+        ownership: (u32, u64),
     ) -> io::Result<Self> {
-        let (part, epoch) = place;
+        let (part, epoch) = ownership;
         let task = Arc::new(Task {
             registry,
             bounds,
@@ -252,17 +252,17 @@
         records: Vec<StoredRecord>,
         assembly: &mut Assembly,
     ) -> (Vec<Batch>, HashMap<String, u64>) {
-        let mut listed = StoredResults::read(self.part, results);
+        let mut stored_results = StoredResults::read(self.part, results);
         let mut positions = HashMap::new();
         let mut batches = BTreeMap::new();
         for change in assembly.read(self.part, records) {
             match change {
                 Change::Accepted(submission) => {
-                    let results = listed.take_results(&submission.id);
+                    let results = stored_results.take_results(&submission.id);
                     positions.insert(submission.id.clone(), results.len() as u64);
                     let id = submission.id.clone();
                     let mut batch = Batch::new(Arc::new(submission), results);
-                    for (item, progress) in listed.take_progress(&id) {
+                    for (item, progress) in stored_results.take_progress(&id) {
                         batch.resume(item, progress);
                     }
                     batches.insert(id, batch);
--- a/crates/godwitspool-host/src/batch/pace.rs
+++ b/crates/godwitspool-host/src/batch/pace.rs
@@ -102,8 +102,8 @@
     if run.silent.0 > bound * scale {
         return Some(Move::Silent);
     }
-    let known = run.pace.events >= MIN_EVENTS && median > 0.0;
-    (known && run.pace.interval_ms > median * SLOW_FACTOR).then_some(Move::Slow)
+    let reliable = run.pace.events >= MIN_EVENTS && median > 0.0;
+    (reliable && run.pace.interval_ms > median * SLOW_FACTOR).then_some(Move::Slow)
 }
 
 /// Returns the median of the targets' intervals between events.
--- a/crates/godwitspool-host/src/batch/record.rs
+++ b/crates/godwitspool-host/src/batch/record.rs
@@ -125,10 +125,12 @@
             .flatten();
         let mut batch: Vec<Record> = stored.map(|record| Record::tombstone(record.key)).collect();
         batch.push(Record::tombstone(Self::of_end(id).key));
-        let listed = results.iter().enumerate();
-        let listed = listed
+        let result_records = results.iter().enumerate();
+        let result_records = result_records
             .flat_map(|(position, result)| Self::of_result(id, position as u64, result, bounds));
-        let results = listed.map(|record| Record::tombstone(record.key)).collect();
+        let results = result_records
+            .map(|record| Record::tombstone(record.key))
+            .collect();
         (batch, results)
     }
 
--- a/crates/godwitspool-host/src/batch/registry.rs
+++ b/crates/godwitspool-host/src/batch/registry.rs
@@ -49,7 +49,7 @@
 
 impl OwnedPartition {
     /// Returns records of the partial output of unfinished items that have generated at least
-    /// `events` events since they were saved, and marks it as saved.
+    /// `events` events since they were saved, and marks this output as saved.
     fn unsaved(&mut self, events: u64, bounds: &StoreBounds) -> Vec<Record> {
         let mut records = Vec::new();
         for batch in self.batches.values_mut().filter(|batch| batch.is_open()) {
@@ -251,12 +251,12 @@
     }
 
     /// Makes results readable that the store has confirmed.
-    pub fn publish_results(&self, part: u32, epoch: u64, listed: &[Finished]) {
+    pub fn publish_results(&self, part: u32, epoch: u64, published: &[Finished]) {
         let mut parts = self.lock();
         let Some(part) = parts.get_mut(&part).filter(|part| part.epoch == epoch) else {
             return;
         };
-        for Finished { batch, result } in listed {
+        for Finished { batch, result } in published {
             if let Some(batch) = part.batches.get_mut(batch) {
                 batch.results.push(Arc::new(result.clone()));
             }
--- a/crates/godwitspool-host/src/batch/stored_results.rs
+++ b/crates/godwitspool-host/src/batch/stored_results.rs
@@ -17,16 +17,16 @@
 impl StoredResults {
     /// Assembles the records; those that can't be decoded are skipped with a warning.
     pub fn read(part: u32, records: Vec<StoredRecord>) -> Self {
-        let mut listed = Self::default();
+        let mut assembled = Self::default();
         for stored in records {
             let added = BatchRecord::read(stored)
                 .map_err(|error| error.to_string())
-                .and_then(|record| listed.add(record));
+                .and_then(|record| assembled.add(record));
             if let Err(reason) = added {
                 log::warn!(partition = part, reason:%; "result record skipped");
             }
         }
-        listed
+        assembled
     }
 
     fn add(&mut self, record: BatchRecord) -> Result<(), String> {
--- a/crates/godwitspool-host/src/dialect.rs
+++ b/crates/godwitspool-host/src/dialect.rs
@@ -152,7 +152,7 @@
     pub token: u64,
 }
 
-/// Translates between the platform's messages and the project's types. Pure: no input or output.
+/// Translates between the platform's messages and the project's types. Implementations do no I/O.
 pub trait Dialect: Send + Sync {
     /// Reads a caller's request.
     fn call(&self, request: &Request) -> Call;
--- a/crates/godwitspool-host/src/duty/loads.rs
+++ b/crates/godwitspool-host/src/duty/loads.rs
@@ -100,7 +100,7 @@
             .filter(is_reachable)
             .map(|target| (*target, view.expected(target, model)))
             .collect();
-        let count_at_least = |least: u64| versions.iter().filter(|(_, at)| *at >= least).count();
+        let count_at_least = |oldest: u64| versions.iter().filter(|(_, at)| *at >= oldest).count();
         let (usable, up_to_date) = (
             count_at_least(newest.saturating_sub(1)),
             count_at_least(newest),
--- a/crates/godwitspool-host/src/version/fleet.rs
+++ b/crates/godwitspool-host/src/version/fleet.rs
@@ -268,9 +268,9 @@
         }
     }
 
-    /// Chooses the target for a request: the one with the lowest expected latency, which is
-    /// weighted by 1.5 for targets in other data centres. Paused targets come last, and targets in
-    /// `tried` are left out.
+    /// Chooses the target for a request: the one with the lowest expected latency, given its
+    /// smoothed latency and its load. Targets in other data centres count as 1.5 times slower.
+    /// Paused targets come last, and targets in `tried` are left out.
     pub fn choose(
         &self,
         service: &ServiceName,
