--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -11,52 +11,54 @@
 };
 
 use super::{
-    Batch, BatchRecord, Book, Finished, ItemResult, Submission, listed::Listed, save_progress,
+    Batch, BatchRecord, BatchRegistry, Finished, ItemResult, Submission, save_progress,
+    stored_results::StoredResults,
 };
 use crate::{
     StoreBounds,
     process::unix_ms,
-    store::{Store, StoreError, Stored, Topic, Writer, read_all},
+    store::{Store, StoreError, StoredRecord, Topic, Writer, read_all},
 };
 
-/// Longest wait for a new batch in one read: an answer that is lost delays a batch by so much.
-const READ_WAIT: Duration = Duration::from_secs(1);
-/// Results that end within this time share an append; small beside the seconds in which a step's
-/// results are due, and it bounds the writes of a partition to 25 a second.
-const GROUP_DELAY: Duration = Duration::from_millis(40);
-/// Time that a batch is kept beyond the time for which it must stay readable, so that hosts whose
-/// clocks differ by seconds agree.
+/// Maximum wait for new batches in one read. A lost answer delays a batch by this time.
+const MAX_READ_WAIT: Duration = Duration::from_secs(1);
+/// Maximum time that a result waits for others to share its append. It is short compared with the
+/// seconds within which the results of a step are due, and limits a partition to 25 appends per
+/// second.
+const MAX_GROUP_DELAY: Duration = Duration::from_millis(40);
+/// Time for which a batch is kept after its TTL. It allows for hosts whose clocks differ by
+/// seconds.
 const TTL_MARGIN: Duration = Duration::from_secs(30);
-/// Time between two looks at batches whose time is over.
-const EXPIRY_LOOK: Duration = Duration::from_secs(5);
-/// Pauses after a failed call to the store: first, and longest.
-const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
-/// Longest time in which a partition that is given up writes the results that wait: a few calls to
-/// the store.
+/// Interval between checks for expired batches.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
+/// First and maximum delay before a failed call to the store is retried.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
+/// Maximum time for which a hand-over waits until queued results are written: a few calls to the
+/// store.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between two looks whether they are written.
-const HAND_OVER_LOOK: Duration = Duration::from_millis(5);
-/// Stack of the partition's threads.
+/// Interval between checks whether the results are written.
+const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Stack size of a partition's threads.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Owns a partition of the batches: reads what was accepted, writes results.
+/// Owner of a partition: reads accepted batches, and writes results and removals.
 #[derive(Debug)]
 pub struct Owner {
-    /// Epoch under which the partition is owned.
+    /// Epoch of the ownership, with which results are appended.
     pub epoch: u64,
     task: Arc<Task>,
 }
 
 struct Task {
-    book: Arc<Book>,
+    registry: Arc<BatchRegistry>,
     bounds: StoreBounds,
     epoch: u64,
     part: u32,
     stopped: AtomicBool,
     store: Arc<dyn Store>,
-    /// Whether a thread writes results.
+    /// Whether the thread that writes results is running.
     writing: AtomicBool,
-    /// How long a batch stays readable.
+    /// How long a batch stays readable after its submission.
     ttl: Duration,
 }
 
@@ -70,22 +72,22 @@
 }
 
 impl Owner {
-    /// Begins to take a partition over, under an epoch that no other owner ever uses; `place` holds
-    /// both.
+    /// Starts to take over a partition. `ownership` holds the number of the partition and the
+    /// epoch, which must not be used by any other owner, ever.
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Fails if no thread can be started.
     pub fn start(
         store: Arc<dyn Store>,
-        book: Arc<Book>,
+        registry: Arc<BatchRegistry>,
         bounds: StoreBounds,
         ttl: Duration,
-        place: (u32, u64),
+        ownership: (u32, u64),
     ) -> io::Result<Self> {
-        let (part, epoch) = place;
+        let (part, epoch) = ownership;
         let task = Arc::new(Task {
-            book,
+            registry,
             bounds,
             epoch,
             part,
@@ -102,13 +104,13 @@
         Ok(Self { epoch, task })
     }
 
-    /// Tells whether the partition was lost to another owner.
+    /// Returns whether another owner has taken over the partition, or this one has closed it.
     pub fn is_lost(&self) -> bool {
         self.task.is_stopped()
     }
 
-    /// Gives the partition up, so that its next owner goes on where this one stops: runs end, what
-    /// they have generated is saved, and results that wait are written. Takes a few calls to the
+    /// Closes the partition so that the next owner can resume its items: stops the runs, saves
+    /// their partial output and waits until queued results are written. Takes a few calls to the
     /// store at most.
     pub fn hand_over(&self) {
         self.task.hand_over();
@@ -117,23 +119,25 @@
 
 impl Task {
     fn is_stopped(&self) -> bool {
-        self.stopped.load(Ordering::SeqCst) || self.book.is_yielded(self.part, self.epoch)
+        self.stopped.load(Ordering::SeqCst) || self.registry.is_superseded(self.part, self.epoch)
     }
 
     fn stop(&self, reason: &str) {
         if !self.stopped.swap(true, Ordering::SeqCst) {
             log::info!(partition = self.part, epoch = self.epoch, reason; "partition closed");
         }
-        self.book.close(self.part, self.epoch);
+        self.registry.close(self.part, self.epoch);
     }
 
     fn hand_over(&self) {
         let began = Instant::now();
-        let progress = self.book.take_unsaved(self.part, self.epoch, &self.bounds);
+        let progress = self
+            .registry
+            .take_unsaved(self.part, self.epoch, &self.bounds);
         let items = progress.len();
         let saved = save_progress(self.store.as_ref(), self.part, progress, &self.bounds);
         while self.writing.load(Ordering::SeqCst) && began.elapsed() < HAND_OVER_TIMEOUT {
-            thread::sleep(HAND_OVER_LOOK);
+            thread::sleep(HAND_OVER_POLL_INTERVAL);
         }
         let took_ms = began.elapsed().as_millis() as u64;
         log::info!(
@@ -154,13 +158,13 @@
             self.store
                 .append(Topic::Results, self.part, &[], Some(writer))
         };
-        if self.persist("fence", fence).is_none() {
+        if self.retry_call("fence", fence).is_none() {
             return;
         }
-        let Some((results, _)) = self.persist("results", || self.load(Topic::Results)) else {
+        let Some((results, _)) = self.retry_call("results", || self.load(Topic::Results)) else {
             return;
         };
-        let Some((records, mut next)) = self.persist("batches", || self.load(Topic::Batches))
+        let Some((records, mut next)) = self.retry_call("batches", || self.load(Topic::Batches))
         else {
             return;
         };
@@ -181,41 +185,41 @@
                 own.writing.store(false, Ordering::SeqCst);
             });
         if let Err(error) = spawned {
-            log::error!(error:%, partition = part; "no thread for a partition's results");
+            log::error!(error:%, partition = part; "no thread for a partition's results; partition closed");
             self.stop("no thread");
             return;
         }
         while !self.is_stopped() {
-            let read = || match self.store.read(Topic::Batches, part, next, READ_WAIT) {
+            let read = || match self.store.read(Topic::Batches, part, next, MAX_READ_WAIT) {
                 Err(StoreError::Gone { .. }) => {
                     let (records, end) = self.load(Topic::Batches)?;
                     Ok((records, end))
                 }
                 read => read.map(|tail| (tail.records, tail.next)),
             };
-            let Some((records, end)) = self.persist("tail", read) else {
+            let Some((records, end)) = self.retry_call("tail", read) else {
                 return;
             };
             next = end;
-            self.follow(records, &mut assembly);
+            self.apply_records(records, &mut assembly);
         }
     }
 
-    /// Opens the partition unless it was given up meanwhile.
+    /// Opens the partition, unless it was lost or closed in the meantime.
     fn open(&self, batches: Vec<Batch>, sender: Sender<Finished>) {
-        self.book.open(self.part, self.epoch, batches, sender);
+        self.registry.open(self.part, self.epoch, batches, sender);
         if self.is_stopped() {
-            self.book.close(self.part, self.epoch);
+            self.registry.close(self.part, self.epoch);
         }
     }
 
-    fn load(&self, topic: Topic) -> Result<(Vec<Stored>, u64), StoreError> {
+    fn load(&self, topic: Topic) -> Result<(Vec<StoredRecord>, u64), StoreError> {
         read_all(self.store.as_ref(), topic, self.part, None, |_| true)
     }
 
-    /// Repeats a call until it succeeds; `None` once the partition is lost or given up.
-    fn persist<T>(&self, what: &str, call: impl Fn() -> Result<T, StoreError>) -> Option<T> {
-        let (mut pause, longest) = RETRY_PAUSE;
+    /// Retries a call until it succeeds; returns `None` once the partition is lost or closed.
+    fn retry_call<T>(&self, what: &str, call: impl Fn() -> Result<T, StoreError>) -> Option<T> {
+        let (mut pause, max_pause) = RETRY_BACKOFF;
         let mut failed = false;
         while !self.is_stopped() {
             match call() {
@@ -235,7 +239,7 @@
                     }
                     failed = true;
                     thread::sleep(pause);
-                    pause = (pause * 2).min(longest);
+                    pause = (pause * 2).min(max_pause);
                 }
             }
         }
@@ -244,21 +248,21 @@
 
     fn assemble(
         &self,
-        results: Vec<Stored>,
-        records: Vec<Stored>,
+        results: Vec<StoredRecord>,
+        records: Vec<StoredRecord>,
         assembly: &mut Assembly,
     ) -> (Vec<Batch>, HashMap<String, u64>) {
-        let mut listed = Listed::read(self.part, results);
+        let mut stored_results = StoredResults::read(self.part, results);
         let mut positions = HashMap::new();
         let mut batches = BTreeMap::new();
         for change in assembly.read(self.part, records) {
             match change {
                 Change::Accepted(submission) => {
-                    let results = listed.take_results(&submission.id);
+                    let results = stored_results.take_results(&submission.id);
                     positions.insert(submission.id.clone(), results.len() as u64);
                     let id = submission.id.clone();
                     let mut batch = Batch::new(Arc::new(submission), results);
-                    for (item, progress) in listed.take_progress(&id) {
+                    for (item, progress) in stored_results.take_progress(&id) {
                         batch.resume(item, progress);
                     }
                     batches.insert(id, batch);
@@ -274,30 +278,30 @@
         (batches.into_values().collect(), positions)
     }
 
-    fn follow(&self, records: Vec<Stored>, assembly: &mut Assembly) {
+    fn apply_records(&self, records: Vec<StoredRecord>, assembly: &mut Assembly) {
         for change in assembly.read(self.part, records) {
             match change {
                 Change::Accepted(submission) => {
                     let (batch, items) = (submission.id.clone(), submission.items.len());
                     let (step, model) = (submission.step, submission.model.clone());
-                    if self.book.accept(self.part, Arc::new(submission)) {
+                    if self.registry.accept(self.part, Arc::new(submission)) {
                         log::info!(batch:%, items, step, model:%, partition = self.part; "batch taken over");
                     }
                 }
                 Change::Ended(batch) => {
-                    if self.book.end(self.part, &batch) {
+                    if self.registry.end(self.part, &batch) {
                         log::info!(batch:%, partition = self.part; "batch ended");
                     }
                 }
-                Change::Removed(batch) => self.book.forget(self.part, &batch),
+                Change::Removed(batch) => self.registry.delete_batch(self.part, &batch),
             }
         }
     }
 
-    /// Removes the records of batches whose time is over.
+    /// Removes the records of expired batches; returns `None` once the partition is lost or closed.
     fn expire(&self, seq: &mut u64) -> Option<()> {
         let ttl = self.ttl + TTL_MARGIN;
-        for (submission, results) in self.book.expired(self.part, unix_ms(), ttl) {
+        for (submission, results) in self.registry.expired(self.part, unix_ms(), ttl) {
             let (batch, results) = BatchRecord::of_removal(&submission, &results, &self.bounds);
             let writer = Writer {
                 epoch: self.epoch,
@@ -307,21 +311,21 @@
                 self.store
                     .append(Topic::Results, self.part, &results, Some(writer))
             };
-            self.persist("remove results", append)?;
+            self.retry_call("remove results", append)?;
             *seq += 1;
             let append = || self.store.append(Topic::Batches, self.part, &batch, None);
-            self.persist("remove batch", append)?;
-            log::info!(batch:% = submission.id, partition = self.part; "batch removed, its time is over");
-            self.book.forget(self.part, &submission.id);
+            self.retry_call("remove batch", append)?;
+            log::info!(batch:% = submission.id, partition = self.part; "batch removed: its TTL is over");
+            self.registry.delete_batch(self.part, &submission.id);
         }
         Some(())
     }
 
-    /// Appends results in groups, and lists them once the store holds them.
+    /// Appends results in groups, and publishes each group once the store has confirmed it.
     fn write(&self, receiver: &Receiver<Finished>, mut positions: HashMap<String, u64>) {
         let mut seq = 1;
         loop {
-            let first = match receiver.recv_timeout(EXPIRY_LOOK) {
+            let first = match receiver.recv_timeout(EXPIRY_INTERVAL) {
                 Ok(first) => first,
                 Err(RecvTimeoutError::Timeout) if self.is_stopped() => return,
                 Err(RecvTimeoutError::Timeout) => {
@@ -334,7 +338,7 @@
             };
             let mut group = vec![first];
             let mut bytes = group[0].result.output.len();
-            let due = Instant::now() + GROUP_DELAY;
+            let due = Instant::now() + MAX_GROUP_DELAY;
             while bytes < self.bounds.call_bytes / 2 {
                 let left = due.saturating_duration_since(Instant::now());
                 match receiver.recv_timeout(left) {
@@ -361,19 +365,19 @@
                 self.store
                     .append(Topic::Results, self.part, &records, Some(writer))
             };
-            if self.persist("append results", append).is_none() {
+            if self.retry_call("append results", append).is_none() {
                 return;
             }
             seq += 1;
-            self.book.list(self.part, self.epoch, &group);
+            self.registry.publish_results(self.part, self.epoch, &group);
         }
     }
 }
 
-/// Puts submissions together that lie in several records.
+/// Assembles submissions from their records.
 #[derive(Debug, Default)]
 struct Assembly {
-    parts: HashMap<String, BTreeMap<u32, Vec<u8>>>,
+    chunks: HashMap<String, BTreeMap<u32, Vec<u8>>>,
 }
 
 enum Change {
@@ -383,42 +387,44 @@
 }
 
 impl Assembly {
-    fn read(&mut self, part: u32, records: Vec<Stored>) -> Vec<Change> {
+    fn read(&mut self, part: u32, records: Vec<StoredRecord>) -> Vec<Change> {
         let mut changes = Vec::new();
         for stored in records {
             match BatchRecord::read(stored) {
-                Ok(BatchRecord::Part {
+                Ok(BatchRecord::Chunk {
                     batch,
                     index,
                     bytes,
                 }) => {
-                    self.parts.entry(batch).or_default().insert(index, bytes);
+                    self.chunks.entry(batch).or_default().insert(index, bytes);
                 }
-                Ok(BatchRecord::Whole { batch, parts }) => match self.join(&batch, parts) {
-                    Ok(submission) => changes.push(Change::Accepted(submission)),
-                    Err(reason) => {
-                        log::warn!(partition = part, batch:%, reason:%; "batch left out");
+                Ok(BatchRecord::Commit { batch, chunk_count }) => {
+                    match self.join(&batch, chunk_count) {
+                        Ok(submission) => changes.push(Change::Accepted(submission)),
+                        Err(reason) => {
+                            log::warn!(partition = part, batch:%, reason:%; "batch skipped: its submission can't be assembled");
+                        }
                     }
-                },
+                }
                 Ok(BatchRecord::End { batch }) => changes.push(Change::Ended(batch)),
                 Ok(BatchRecord::Removed { batch }) => changes.push(Change::Removed(batch)),
                 Ok(
                     BatchRecord::Progress { .. }
                     | BatchRecord::Result { .. }
-                    | BatchRecord::ResultPart { .. },
+                    | BatchRecord::ResultChunk { .. },
                 ) => {}
-                Err(error) => log::warn!(partition = part, error:%; "batch record left out"),
+                Err(error) => log::warn!(partition = part, error:%; "batch record skipped"),
             }
         }
         changes
     }
 
     fn join(&mut self, batch: &str, count: u32) -> Result<Submission, String> {
-        let parts = self.parts.remove(batch).unwrap_or_default();
-        if parts.len() != count as usize {
-            return Err(format!("{} of {count} parts", parts.len()));
+        let chunks = self.chunks.remove(batch).unwrap_or_default();
+        if chunks.len() != count as usize {
+            return Err(format!("got {} of {count} chunks", chunks.len()));
         }
-        let bytes: Vec<u8> = parts.into_values().flatten().collect();
+        let bytes: Vec<u8> = chunks.into_values().flatten().collect();
         postcard::from_bytes(&bytes).map_err(|error| error.to_string())
     }
 }
@@ -426,19 +432,20 @@
 /// A submission and its results by position.
 pub type StoredBatch = (Arc<Submission>, Vec<Arc<ItemResult>>);
 
-/// Reads a batch and its results from the store, for a host that reaches no owner of it.
+/// Reads a batch and its results from the store, for a host that can't reach the partition's owner.
+/// Returns `None` if no such batch exists.
 ///
 /// # Errors
 ///
-/// When the store doesn't answer. A batch that doesn't exist is no error.
+/// Fails if the store doesn't answer.
 pub fn read_stored(
     store: &dyn Store,
     part: u32,
     batch: &str,
 ) -> Result<Option<StoredBatch>, StoreError> {
-    let before = BatchRecord::before(batch);
+    let prefix = BatchRecord::key_prefix(batch);
     let belongs = |key: &str| BatchRecord::belongs(key, batch);
-    let (records, _) = read_all(store, Topic::Batches, part, Some(&before), belongs)?;
+    let (records, _) = read_all(store, Topic::Batches, part, Some(&prefix), belongs)?;
     let changes = Assembly::default().read(part, records);
     let mut accepted = changes.into_iter().filter_map(|change| match change {
         Change::Accepted(submission) => Some(submission),
@@ -447,7 +454,7 @@
     let Some(submission) = accepted.next() else {
         return Ok(None);
     };
-    let (records, _) = read_all(store, Topic::Results, part, Some(&before), belongs)?;
-    let results = Listed::read(part, records).take_results(batch);
+    let (records, _) = read_all(store, Topic::Results, part, Some(&prefix), belongs)?;
+    let results = StoredResults::read(part, records).take_results(batch);
     Ok(Some((Arc::new(submission), results)))
 }
--- a/crates/godwitspool-host/src/process/duties.rs
+++ b/crates/godwitspool-host/src/process/duties.rs
@@ -15,7 +15,7 @@
     dialect::{DutyError, Fence, LoadMode, LoadOrder, Ordered, WindowReport},
     duty::{LoadView, Loading, next_load, plan_loads},
     http::Exchange,
-    store::{Keyed, Store, StoreError, Topic, Writer, read_all},
+    store::{Record, Store, StoreError, Topic, Writer, read_all},
     version::Outcome,
 };
 
@@ -238,8 +238,8 @@
                     .collect();
                 orders.extend(plan_loads(&LoadView {
                     targets: fleet.usable(name),
-                    dealt: &fleet.deal(name, &service.models),
-                    named: &named,
+                    assigned: &fleet.assign_models(name, &service.models),
+                    newest_versions: &named,
                     loading: &loading,
                     mode,
                     now,
@@ -283,7 +283,7 @@
             });
             let mut loading = loading.lock().unwrap_or_else(PoisonError::into_inner);
             match ordered {
-                Ok(Ordered::Holds) => shared.fleet().learn(target, model, version),
+                Ok(Ordered::Holds) => shared.fleet().observe_version(target, model, version),
                 Ok(Ordered::Accepted) => {
                     shared.fleet().begin_load(target, model, version, shared.clock.now());
                     let notice = LoadNotice {
@@ -394,7 +394,7 @@
         let value = postcard::to_stdvec(&value).map_err(|error| StoreError::Unreadable {
             reason: error.to_string(),
         })?;
-        let record = Keyed::new(format!("w{:012}", report.window), value);
+        let record = Record::new(format!("w{:012}", report.window), value);
         let writer = Writer {
             epoch: term.epoch,
             seq: term.seq,
@@ -457,7 +457,7 @@
 /// Appends the counts of ended windows until the process drains. The counts of open windows are
 /// appended last, while draining.
 pub fn append_usage(shared: &Arc<Shared>) {
-    let mut unsent: Vec<Keyed> = Vec::new();
+    let mut unsent: Vec<Record> = Vec::new();
     let mut number = 0;
     loop {
         let draining = shared.is_draining();
@@ -468,7 +468,7 @@
             match postcard::to_stdvec(&(window, &counts)) {
                 Ok(value) => {
                     let key = format!("{window}/{}/{number}", shared.member);
-                    unsent.push(Keyed::new(key, value));
+                    unsent.push(Record::new(key, value));
                 }
                 Err(error) => log::error!(error:%, window; "cannot encode counts"),
             }
