--- a/crates/godwitspool-host/src/batch/listed.rs
+++ b/crates/godwitspool-host/src/batch/stored_results.rs
@@ -3,30 +3,30 @@
     sync::Arc,
 };
 
-use super::{BatchRecord, ItemResult, Progress};
-use crate::store::Stored;
+use super::{BatchRecord, ItemProgress, ItemResult};
+use crate::store::StoredRecord;
 
-/// Results and progress of batches, put together from a partition's records.
+/// Results and partial output of a partition's batches, assembled from the records of its topic.
 #[derive(Debug, Default)]
-pub struct Listed {
-    progress: HashMap<String, Vec<(u32, Progress)>>,
+pub struct StoredResults {
+    progress: HashMap<String, Vec<(u32, ItemProgress)>>,
     results: HashMap<String, BTreeMap<u64, Arc<ItemResult>>>,
-    parts: HashMap<(String, u64), BTreeMap<u32, Vec<u8>>>,
+    chunks: HashMap<(String, u64), BTreeMap<u32, Vec<u8>>>,
 }
 
-impl Listed {
-    /// Puts records together; unreadable ones are left out.
-    pub fn read(part: u32, records: Vec<Stored>) -> Self {
-        let mut listed = Self::default();
+impl StoredResults {
+    /// Assembles the records; those that can't be decoded are skipped with a warning.
+    pub fn read(part: u32, records: Vec<StoredRecord>) -> Self {
+        let mut assembled = Self::default();
         for stored in records {
             let added = BatchRecord::read(stored)
                 .map_err(|error| error.to_string())
-                .and_then(|record| listed.add(record));
+                .and_then(|record| assembled.add(record));
             if let Err(reason) = added {
-                log::warn!(partition = part, reason:%; "result record left out");
+                log::warn!(partition = part, reason:%; "result record skipped");
             }
         }
-        listed
+        assembled
     }
 
     fn add(&mut self, record: BatchRecord) -> Result<(), String> {
@@ -44,29 +44,29 @@
                 position,
                 result,
             } => self.put(batch, position, result),
-            BatchRecord::ResultPart {
+            BatchRecord::ResultChunk {
                 batch,
                 position,
                 index,
-                parts,
+                chunk_count,
                 bytes,
             } => {
-                let place = (batch, position);
-                let known = self.parts.entry(place.clone()).or_default();
-                known.insert(index, bytes);
-                if known.len() == parts as usize {
-                    let known = self.parts.remove(&place).unwrap_or_default();
-                    let bytes: Vec<u8> = known.into_values().flatten().collect();
+                let key = (batch, position);
+                let chunks = self.chunks.entry(key.clone()).or_default();
+                chunks.insert(index, bytes);
+                if chunks.len() == chunk_count as usize {
+                    let chunks = self.chunks.remove(&key).unwrap_or_default();
+                    let bytes: Vec<u8> = chunks.into_values().flatten().collect();
                     let result = postcard::from_bytes(&bytes);
                     let result = result
-                        .map_err(|error| format!("result {position} of {}: {error}", place.0))?;
-                    self.put(place.0, position, result);
+                        .map_err(|error| format!("result {position} of {}: {error}", key.0))?;
+                    self.put(key.0, position, result);
                 }
             }
             BatchRecord::End { .. }
-            | BatchRecord::Part { .. }
+            | BatchRecord::Chunk { .. }
             | BatchRecord::Removed { .. }
-            | BatchRecord::Whole { .. } => {}
+            | BatchRecord::Commit { .. } => {}
         }
         Ok(())
     }
@@ -76,17 +76,17 @@
         results.insert(position, Arc::new(result));
     }
 
-    /// Takes a batch's results out, in their positions up to the first that isn't there: a read that
-    /// overlaps an append may lack its last ones.
+    /// Removes and returns a batch's results by position, up to the first missing position. A read
+    /// that overlaps an append may lack the results after it.
     pub fn take_results(&mut self, batch: &str) -> Vec<Arc<ItemResult>> {
         let results = self.results.remove(batch).unwrap_or_default();
-        let whole = results.into_iter().enumerate();
-        let whole = whole.take_while(|(index, (position, _))| *index as u64 == *position);
-        whole.map(|(_, (_, result))| result).collect()
+        let complete = results.into_iter().enumerate();
+        let complete = complete.take_while(|(index, (position, _))| *index as u64 == *position);
+        complete.map(|(_, (_, result))| result).collect()
     }
 
-    /// Takes out what was saved of a batch's items.
-    pub fn take_progress(&mut self, batch: &str) -> Vec<(u32, Progress)> {
+    /// Removes and returns the saved partial output of a batch's items.
+    pub fn take_progress(&mut self, batch: &str) -> Vec<(u32, ItemProgress)> {
         self.progress.remove(batch).unwrap_or_default()
     }
 }
