--- a/crates/godwitspool-measure/src/control/in_force.rs
+++ b/crates/godwitspool-measure/src/control/in_force.rs
@@ -95,7 +95,7 @@
 fn introduce(rig: &[Host]) {
     let listed: Vec<_> = rig.iter().map(|host| host.entry.clone()).collect();
     for host in rig {
-        host.gossip.listed(listed.clone());
+        host.gossip.set_host_list(listed.clone());
     }
     // Hosts of other data centres are known by their first few only.
     wait_until(|| rig.iter().all(|host| host.reader.read(Replica::is_ready)));
--- a/crates/godwitspool-measure/src/control/membership.rs
+++ b/crates/godwitspool-measure/src/control/membership.rs
@@ -91,7 +91,7 @@
 fn kill_one(hosts: usize, loss: f64, seed: u64, kill: usize) -> Gone {
     let mut net = data_centre(hosts, loss, seed + kill as u64);
     net.run_for(Millis(1_000 + 37 * kill as u64));
-    net.hosts[0].runs = false;
+    net.hosts[0].is_running = false;
     let believers = |net: &Net| (1..hosts).filter(|host| net.sees(*host, 0)).count();
     let first = net.run_until(FIND, |net| believers(net) < hosts - 1);
     let rest = net.run_until(FIND, |net| believers(net) == 0);
@@ -172,7 +172,7 @@
     let before: Vec<_> = net
         .hosts
         .iter()
-        .map(|host| (host.sent, host.worked))
+        .map(|host| (host.sent, host.busy_time))
         .collect();
     net.run_for(LOADED);
     let seconds = LOADED.seconds();
@@ -181,7 +181,7 @@
     let rates: Vec<_> = rates.collect();
     let datagrams = near().map(|(host, (sent, _))| host.sent.datagrams - sent.datagrams);
     let cores = near()
-        .map(|(host, (_, worked))| host.worked.saturating_sub(*worked).as_secs_f64() / seconds);
+        .map(|(host, (_, worked))| host.busy_time.saturating_sub(*worked).as_secs_f64() / seconds);
     let cores: Vec<_> = cores.map(|core| core * 100.0).collect();
     [
         hosts.to_string(),
@@ -256,7 +256,7 @@
     let listed: Vec<_> = started.iter().map(|(_, entry)| entry.clone()).collect();
     let gossips: Vec<_> = started.into_iter().map(|(gossip, _)| gossip).collect();
     for gossip in &gossips {
-        gossip.listed(listed.clone());
+        gossip.set_host_list(listed.clone());
     }
     let begun = Instant::now();
     while gossips.iter().any(|gossip| gossip.members().len() < hosts) {
--- a/crates/godwitspool-measure/src/slopes/gossip.rs
+++ b/crates/godwitspool-measure/src/slopes/gossip.rs
@@ -55,7 +55,7 @@
     let before: Vec<_> = net
         .hosts
         .iter()
-        .map(|host| (host.sent.bytes, host.worked))
+        .map(|host| (host.sent.bytes, host.busy_time))
         .collect();
     net.run_for(WATCHED);
     let seconds = WATCHED.seconds();
@@ -64,7 +64,7 @@
         work_us: 0.0,
     };
     for (host, (bytes, worked)) in net.hosts.iter().zip(before) {
-        let work: Duration = host.worked.saturating_sub(worked);
+        let work: Duration = host.busy_time.saturating_sub(worked);
         busiest.bytes = busiest
             .bytes
             .max((host.sent.bytes - bytes) as f64 / seconds);
--- a/crates/godwitspool-process/src/membership/gossip.rs
+++ b/crates/godwitspool-process/src/membership/gossip.rs
@@ -158,7 +158,7 @@
     }
 
     /// Takes the platform's lagging list, or the hosts of the settings.
-    pub fn listed(&self, hosts: Vec<HostEntry>) {
+    pub fn set_host_list(&self, hosts: Vec<HostEntry>) {
         self.shared.decide(MembershipEvent::Listed(hosts));
     }
 
--- a/crates/godwitspool-process/src/membership/simulated.rs
+++ b/crates/godwitspool-process/src/membership/simulated.rs
@@ -41,12 +41,12 @@
     pub rumors: Vec<RumorBody>,
     /// Its state.
     pub membership: Membership,
-    /// Whether it runs.
-    pub runs: bool,
+    /// Whether its process runs.
+    pub is_running: bool,
     /// What it sent.
     pub sent: Traffic,
     /// Processor time of its decisions and codings.
-    pub worked: Duration,
+    pub busy_time: Duration,
     next_tick: Millis,
 }
 
@@ -74,7 +74,7 @@
     pub rules: MembershipRules,
     by_address: BTreeMap<SocketAddr, usize>,
     flights: BinaryHeap<Reverse<Flight>>,
-    flown: u64,
+    sent_count: u64,
     rng: StdRng,
 }
 
@@ -94,7 +94,7 @@
             by_address: BTreeMap::new(),
             cuts: BTreeSet::new(),
             flights: BinaryHeap::new(),
-            flown: 0,
+            sent_count: 0,
             hosts: Vec::new(),
             loss: 0.0,
             now: Millis(1_000),
@@ -120,9 +120,9 @@
                 membership: Membership::new(record, self.rules, self.now),
                 next_tick,
                 rumors: Vec::new(),
-                runs: true,
+                is_running: true,
                 sent: Traffic::default(),
-                worked: Duration::ZERO,
+                busy_time: Duration::ZERO,
             });
         }
         self.list_all();
@@ -142,7 +142,7 @@
         let (now, begun) = (self.now, Instant::now());
         let host = &mut self.hosts[index];
         let actions = host.membership.decide(event, now, &mut self.rng);
-        host.worked += begun.elapsed();
+        host.busy_time += begun.elapsed();
         for action in actions {
             self.carry_out(index, action);
         }
@@ -160,7 +160,7 @@
             .with_life(Incarnation(now.0));
         host.membership = Membership::new(record, rules, now);
         host.next_tick = now;
-        host.runs = true;
+        host.is_running = true;
         self.list_all();
     }
 
@@ -195,16 +195,16 @@
         Some(self.now - begun)
     }
 
-    /// Tells whether every host that runs sees this many members.
+    /// Tells whether every running host sees this many members.
     pub fn all_see(&self, members: usize) -> bool {
-        let mut running = self.hosts.iter().filter(|host| host.runs);
+        let mut running = self.hosts.iter().filter(|host| host.is_running);
         running.all(|host| host.membership.members(self.now).len() == members)
     }
 
     /// Tells whether every host of the first host's data centre sees this many of them.
     pub fn all_see_near(&self, members: usize) -> bool {
         let dc = self.dc(0);
-        let near = |index: &usize| self.hosts[*index].runs && self.dc(*index) == dc;
+        let near = |index: &usize| self.hosts[*index].is_running && self.dc(*index) == dc;
         (0..self.hosts.len()).filter(near).all(|index| {
             let seen = self.hosts[index].membership.members(self.now);
             seen.iter().filter(|member| member.dc == *dc).count() == members
@@ -231,7 +231,7 @@
             }
         }
         for index in 0..self.hosts.len() {
-            if self.hosts[index].runs && self.hosts[index].next_tick <= self.now {
+            if self.hosts[index].is_running && self.hosts[index].next_tick <= self.now {
                 self.hosts[index].next_tick = self.now + TICK;
                 self.tell(index, MembershipEvent::Tick);
             }
@@ -243,12 +243,12 @@
     }
 
     fn deliver(&mut self, flight: &Flight) {
-        if !self.hosts[flight.to].runs {
+        if !self.hosts[flight.to].is_running {
             return;
         }
         let begun = Instant::now();
         let decoded = Datagram::decode(&flight.bytes);
-        self.hosts[flight.to].worked += begun.elapsed();
+        self.hosts[flight.to].busy_time += begun.elapsed();
         if let Ok(datagram) = decoded {
             let event = MembershipEvent::Received {
                 from: self.hosts[flight.from].address,
@@ -270,7 +270,7 @@
         let begun = Instant::now();
         let encoded = datagram.encode();
         let host = &mut self.hosts[from];
-        host.worked += begun.elapsed();
+        host.busy_time += begun.elapsed();
         let bytes = encoded.unwrap_or_else(|error| panic!("{error}"));
         host.sent.bytes += bytes.len() as u64 + HEADER_BYTES;
         host.sent.datagrams += 1;
@@ -282,10 +282,10 @@
         }
         let same = self.dc(from) == self.dc(to);
         let delay = if same { NEAR_DELAY } else { FAR_DELAY };
-        self.flown += 1;
+        self.sent_count += 1;
         self.flights.push(Reverse(Flight {
             due: self.now + delay,
-            number: self.flown,
+            number: self.sent_count,
             from,
             to,
             bytes,
--- a/crates/godwitspool-process/tests/gossip.rs
+++ b/crates/godwitspool-process/tests/gossip.rs
@@ -60,7 +60,7 @@
         .map(|(number, host)| listing(number, host.address))
         .collect();
     for host in &hosts {
-        host.gossip.listed(listed.clone());
+        host.gossip.set_host_list(listed.clone());
     }
     wait_until("all see all", || sees(&hosts, hosts.len()));
     hosts
--- a/crates/godwitspool-process/tests/log_reader.rs
+++ b/crates/godwitspool-process/tests/log_reader.rs
@@ -161,7 +161,7 @@
 fn introduce(hosts: &[&Host]) {
     let listed: Vec<_> = hosts.iter().map(|host| host.entry.clone()).collect();
     for host in hosts {
-        host.gossip.listed(listed.clone());
+        host.gossip.set_host_list(listed.clone());
     }
     wait_until("all hosts see each other", || {
         hosts
--- a/crates/godwitspool-process/tests/membership.rs
+++ b/crates/godwitspool-process/tests/membership.rs
@@ -49,7 +49,7 @@
 #[case(60)]
 fn a_killed_host_is_gone_within_seconds(#[case] hosts: usize) {
     let mut net = dc_of(hosts, 2);
-    net.hosts[0].runs = false;
+    net.hosts[0].is_running = false;
     let took = net.run_until(MINUTE, |net| net.all_see(hosts - 1)).unwrap();
     assert!(
         took > net.rules.suspicion(hosts),
@@ -111,9 +111,9 @@
 #[test]
 fn a_paused_host_blames_nobody_when_it_wakes() {
     let mut net = dc_of(5, 7);
-    net.hosts[0].runs = false;
+    net.hosts[0].is_running = false;
     net.run_for(Millis(900));
-    net.hosts[0].runs = true;
+    net.hosts[0].is_running = true;
     net.run_for(Millis(10_000));
     assert_eq!(net.hosts[0].membership.counts().suspected, 0);
     assert!(net.hosts[0].membership.counts().pauses > 0);
@@ -123,9 +123,9 @@
 #[test]
 fn a_host_wakes_after_it_was_found_gone_and_comes_back() {
     let mut net = dc_of(5, 8);
-    net.hosts[0].runs = false;
+    net.hosts[0].is_running = false;
     assert!(net.run_until(MINUTE, |net| net.all_see(4)).is_some());
-    net.hosts[0].runs = true;
+    net.hosts[0].is_running = true;
     assert!(net.run_until(MINUTE, |net| net.all_see(5)).is_some());
     assert!(net.hosts[0].membership.counts().refuted > 0);
 }
@@ -218,7 +218,7 @@
     let took = net.run_until(MINUTE, leaving).unwrap();
     assert!(took < Millis(2_000), "{took}");
     net.tell(0, MembershipEvent::Gone);
-    net.hosts[0].runs = false;
+    net.hosts[0].is_running = false;
     let took = net.run_until(MINUTE, |net| net.all_see(10)).unwrap();
     assert!(took < Millis(2_000), "{took}");
     assert_eq!(suspected(&net), 0);
@@ -258,7 +258,7 @@
 #[test]
 fn a_host_that_is_gone_is_gone_in_other_data_centres_too() {
     let mut net = three_dcs(20);
-    net.hosts[0].runs = false;
+    net.hosts[0].is_running = false;
     let took = net.run_until(MINUTE, |net| net.all_see(10)).unwrap();
     assert!(took < Millis(12_000), "{took}");
 }
--- a/crates/godwitspool-steward/src/process/steward.rs
+++ b/crates/godwitspool-steward/src/process/steward.rs
@@ -92,7 +92,7 @@
             .with_life(life.incarnation);
         let rules = MembershipRules::default();
         let gossip = Arc::new(Gossip::start(socket, own, rules, clock, events.clone())?);
-        gossip.listed(settings.peers.iter().map(host_entry).collect());
+        gossip.set_host_list(settings.peers.iter().map(host_entry).collect());
         let platform = Platform::new(settings.platform.clone());
         let reader = LogReader::start(
             reader_options(&settings),
--- a/crates/godwitspool-steward/src/version/lists.rs
+++ b/crates/godwitspool-steward/src/version/lists.rs
@@ -22,7 +22,7 @@
             Err(error) => log::warn!("list of targets is not read: {error}"),
         }
         match shared.platform.hosts() {
-            Ok(list) => shared.gossip.listed(list.hosts),
+            Ok(list) => shared.gossip.set_host_list(list.hosts),
             Err(error) => log::warn!("list of hosts is not read: {error}"),
         }
         shared.board.set_members(shared.gossip.members());
