--- a/crates/godwitspool-entry/src/connection/callers.rs
+++ b/crates/godwitspool-entry/src/connection/callers.rs
@@ -60,7 +60,7 @@
 /// Nobody waits for this thread: it matters only where the process outlives its entry.
 fn refuse_late(listener: Arc<HttpListener>) {
     let refuse = move || {
-        while let Some(request) = listener.next_late() {
+        while let Some(request) = listener.next_after_stop() {
             answer::refuse(request, &Refusal::from(Reason::Draining));
         }
     };
--- a/crates/godwitspool-process/src/http_listener.rs
+++ b/crates/godwitspool-process/src/http_listener.rs
@@ -116,7 +116,7 @@
 
     /// Waits for a request that came after [`HttpListener::next`] had ended, on a connection accepted
     /// before the stop; nothing once five seconds have passed since.
-    pub fn next_late(&self) -> Option<Request> {
+    pub fn next_after_stop(&self) -> Option<Request> {
         receive_within(&self.server(), self.left(LATE_BOUND))
     }
 
