--- a/crates/godwitspool-cli/tests/cli.rs
+++ b/crates/godwitspool-cli/tests/cli.rs
@@ -5,7 +5,7 @@
 use std::{fs, net::TcpListener, path::PathBuf, sync::Arc, thread, time::Duration};
 
 use godwitspool_fakes::{Platform, PlatformOptions};
-use godwitspool_process::{Metrics, Operated, OperatorHttp, Readiness};
+use godwitspool_process::{Metrics, OperatorApi, OperatorHttp, Readiness};
 use godwitspool_types::{Key, Offset};
 use godwitspool_version::{Publish, Record, RecordBody};
 use rstest::rstest;
@@ -261,7 +261,7 @@
 
 struct Daemon;
 
-impl Operated for Daemon {
+impl OperatorApi for Daemon {
     fn readiness(&self) -> Readiness {
         Readiness::Ready
     }
--- a/crates/godwitspool-entry/src/process/operators.rs
+++ b/crates/godwitspool-entry/src/process/operators.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::TcpListener, sync::Arc};
 
-use godwitspool_process::{Operated, OperatorHttp, Readiness};
+use godwitspool_process::{OperatorApi, OperatorHttp, Readiness};
 use godwitspool_types::RequestId;
 use serde_json::{Value, json};
 
@@ -23,7 +23,7 @@
     OperatorHttp::start(listener, metrics, Arc::new(Pages(Arc::clone(shared))))
 }
 
-impl Operated for Pages {
+impl OperatorApi for Pages {
     fn readiness(&self) -> Readiness {
         if self.0.leaving() {
             return Readiness::NotReady("entry leaves".to_owned());
--- a/crates/godwitspool-entry/src/process/serving.rs
+++ b/crates/godwitspool-entry/src/process/serving.rs
@@ -5,7 +5,7 @@
 use godwitspool_connection::messages::{
     EntryAnswer, EntryRequest, ServingAnswer, ServingRequest, View,
 };
-use godwitspool_process::{Clock, EntrySettings, Metrics, Reasons};
+use godwitspool_process::{Clock, CounterByReason, EntrySettings, Metrics};
 use godwitspool_request::homes;
 use godwitspool_types::{HostName, Millis, RequestId};
 
@@ -34,16 +34,16 @@
     members: RwLock<Arc<Vec<HostName>>>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) quota: Quota,
-    refusals: Reasons,
-    pub(crate) retries: Reasons,
+    refusals: CounterByReason,
+    pub(crate) retries: CounterByReason,
     pub(crate) suspicion: Suspicion,
 }
 
 impl Serving {
     pub(crate) fn new(settings: &EntrySettings) -> Self {
         let metrics = Metrics::default();
-        let refusals = metrics.reasons("refusals", "Requests refused or cut, by reason");
-        let retries = metrics.reasons("retries", "Attempts after the first, by reason");
+        let refusals = metrics.counter_by_reason("refusals", "Requests refused or cut, by reason");
+        let retries = metrics.counter_by_reason("retries", "Attempts after the first, by reason");
         Self {
             clock: Clock::start(),
             dispatch: Dispatch::new(settings.dc.clone()),
--- a/crates/godwitspool-host/src/process/relay.rs
+++ b/crates/godwitspool-host/src/process/relay.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use godwitspool_process::{Histogram, Reasons};
+use godwitspool_process::{CounterByReason, Histogram};
 use serde::{Deserialize, Serialize};
 
 use super::peers::address;
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct RelayMetrics {
     /// Number of calls by way (direct or relayed) and outcome.
-    pub calls: Reasons,
+    pub calls: CounterByReason,
     /// Durations of direct calls in seconds, without reads, which wait for new records.
     pub seconds: Histogram,
 }
--- a/crates/godwitspool-host/src/process/shared.rs
+++ b/crates/godwitspool-host/src/process/shared.rs
@@ -8,7 +8,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use godwitspool_process::{Clock, Histogram, Metrics, Reasons};
+use godwitspool_process::{Clock, CounterByReason, Histogram, Metrics};
 use godwitspool_types::{Millis, ModelName};
 use rustix::time::{ClockId, clock_gettime};
 
@@ -69,15 +69,15 @@
     /// Registry of the process's metrics.
     pub metrics: Metrics,
     /// Number of requests by outcome.
-    pub answers: Reasons,
+    pub answers: CounterByReason,
     /// Durations of requests in seconds.
     pub answer_seconds: Histogram,
     /// Number of runs of batch items by outcome.
-    pub runs: Reasons,
+    pub runs: CounterByReason,
     /// Durations of completed runs in seconds.
     pub run_seconds: Histogram,
     /// Number of load orders to targets by outcome.
-    pub orders: Reasons,
+    pub orders: CounterByReason,
     /// Local copies of the operators' records and of the targets' entries, in this order.
     pub mirrors: Mutex<[Mirror; 2]>,
     configuration: RwLock<Option<Arc<Configuration>>>,
@@ -116,13 +116,16 @@
     /// When no pipe can be created.
     pub fn new(settings: Settings, adapters: Adapters) -> io::Result<Self> {
         let metrics = Metrics::default();
-        let answers = metrics.reasons("answers", "Requests by how they ended");
-        let answer_seconds = metrics.seconds("answer_seconds", "Times from request to answer");
-        let runs = metrics.reasons("runs", "Runs of items by how they ended");
-        let run_seconds = metrics.seconds("run_seconds", "Times of completed runs");
-        let orders = metrics.reasons("orders", "Orders to targets by what came of them");
-        let calls = metrics.reasons("store_calls", "Calls to the store by way and outcome");
-        let call_seconds = metrics.seconds("store_seconds", "Times of calls to the store");
+        let answers = metrics.counter_by_reason("answers", "Requests by how they ended");
+        let answer_seconds =
+            metrics.seconds_histogram("answer_seconds", "Times from request to answer");
+        let runs = metrics.counter_by_reason("runs", "Runs of items by how they ended");
+        let run_seconds = metrics.seconds_histogram("run_seconds", "Times of completed runs");
+        let orders = metrics.counter_by_reason("orders", "Orders to targets by what came of them");
+        let calls =
+            metrics.counter_by_reason("store_calls", "Calls to the store by way and outcome");
+        let call_seconds =
+            metrics.seconds_histogram("store_seconds", "Times of calls to the store");
         let own_addresses = [Some(settings.peer), settings.seed]
             .into_iter()
             .flatten()
--- a/crates/godwitspool-process/src/metrics.rs
+++ b/crates/godwitspool-process/src/metrics.rs
@@ -23,7 +23,7 @@
 /// use godwitspool_process::Metrics;
 ///
 /// let metrics = Metrics::default();
-/// let refusals = metrics.reasons("refusals", "Requests refused, by reason");
+/// let refusals = metrics.counter_by_reason("refusals", "Requests refused, by reason");
 /// refusals.count("rate");
 /// assert!(metrics.text().contains("godwitspool_refusals_total{reason=\"rate\"} 1"));
 /// ```
@@ -57,15 +57,15 @@
     }
 
     /// Registers a histogram of seconds, from a millisecond to half an hour.
-    pub fn seconds(&self, name: &str, help: &str) -> Histogram {
+    pub fn seconds_histogram(&self, name: &str, help: &str) -> Histogram {
         let histogram = Histogram::new(exponential_buckets(0.001, 2.0, 21));
         self.registry().register(name, help, histogram.clone());
         histogram
     }
 
     /// Registers a counter for each reason.
-    pub fn reasons(&self, name: &str, help: &str) -> Reasons {
-        let reasons = Reasons::default();
+    pub fn counter_by_reason(&self, name: &str, help: &str) -> CounterByReason {
+        let reasons = CounterByReason::default();
         self.registry().register(name, help, reasons.0.clone());
         reasons
     }
@@ -99,14 +99,14 @@
 
 /// A counter for each reason of a refusal, a retry or another event.
 #[derive(Clone, Debug, Default)]
-pub struct Reasons(Family<Reason, Counter>);
+pub struct CounterByReason(Family<Reason, Counter>);
 
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 struct Reason {
     reason: &'static str,
 }
 
-impl Reasons {
+impl CounterByReason {
     /// Counts one more event.
     pub fn count(&self, reason: &'static str) {
         self.add(reason, 1);
--- a/crates/godwitspool-process/src/operator_http.rs
+++ b/crates/godwitspool-process/src/operator_http.rs
@@ -26,7 +26,7 @@
 }
 
 /// What operators ask of a daemon.
-pub trait Operated: Send + Sync + 'static {
+pub trait OperatorApi: Send + Sync + 'static {
     /// Tells whether the daemon can do its work.
     fn readiness(&self) -> Readiness;
 
@@ -60,7 +60,7 @@
     pub fn start(
         listener: TcpListener,
         metrics: Arc<Metrics>,
-        operated: Arc<impl Operated>,
+        operated: Arc<impl OperatorApi>,
     ) -> io::Result<Self> {
         let listener = Arc::new(HttpListener::new(listener)?);
         let own = Arc::clone(&listener);
@@ -119,7 +119,7 @@
     }
 }
 
-fn answer(request: Request, metrics: &Metrics, operated: &impl Operated) {
+fn answer(request: Request, metrics: &Metrics, operated: &impl OperatorApi) {
     let page = page(&request, metrics, operated);
     let mut response = Response::from_string(page.text).with_status_code(page.status);
     if let Ok(kind) = Header::from_bytes("Content-Type", page.kind) {
@@ -130,7 +130,7 @@
     }
 }
 
-fn page(request: &Request, metrics: &Metrics, operated: &impl Operated) -> Page {
+fn page(request: &Request, metrics: &Metrics, operated: &impl OperatorApi) -> Page {
     let path = request.url().split('?').next().unwrap_or_default();
     let found = match (request.method(), path) {
         (Method::Get, "/metrics") => {
@@ -156,7 +156,7 @@
     }
 }
 
-fn readiness(operated: &impl Operated) -> Page {
+fn readiness(operated: &impl OperatorApi) -> Page {
     match operated.readiness() {
         Readiness::Ready => Page::json(200, &json!({ "ready": true })),
         Readiness::NotReady(reason) => {
--- a/crates/godwitspool-process/tests/operator_http.rs
+++ b/crates/godwitspool-process/tests/operator_http.rs
@@ -10,7 +10,7 @@
     time::{Duration, Instant},
 };
 
-use godwitspool_process::{Metrics, Operated, OperatorHttp, Readiness};
+use godwitspool_process::{Metrics, OperatorApi, OperatorHttp, Readiness};
 use rstest::rstest;
 use serde_json::{Value, json};
 use socket2::SockRef;
@@ -19,7 +19,7 @@
 
 struct Daemon(Readiness);
 
-impl Operated for Daemon {
+impl OperatorApi for Daemon {
     fn readiness(&self) -> Readiness {
         self.0.clone()
     }
@@ -41,7 +41,7 @@
 fn start(listener: TcpListener, readiness: Readiness) -> OperatorHttp {
     let metrics = Arc::new(Metrics::default());
     metrics
-        .reasons("refusals", "Requests refused")
+        .counter_by_reason("refusals", "Requests refused")
         .count("rate");
     OperatorHttp::start(listener, metrics, Arc::new(Daemon(readiness))).unwrap()
 }
--- a/crates/godwitspool-steward/src/process/operators.rs
+++ b/crates/godwitspool-steward/src/process/operators.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use godwitspool_process::{Operated, Readiness};
+use godwitspool_process::{OperatorApi, Readiness};
 use godwitspool_version::{Fold, LeaseKind, OrderTable, WindowTable};
 use serde_json::{Value, json};
 
@@ -11,7 +11,7 @@
 /// Gives operators a look at what the threads share.
 pub(crate) struct Pages(pub(crate) Arc<Shared>);
 
-impl Operated for Pages {
+impl OperatorApi for Pages {
     fn readiness(&self) -> Readiness {
         if self.0.board.age().is_some() {
             Readiness::Ready
--- a/crates/godwitspool-steward/src/process/shared.rs
+++ b/crates/godwitspool-steward/src/process/shared.rs
@@ -12,7 +12,7 @@
     peer::{Link, LinkBounds, LinkError},
 };
 use godwitspool_process::{
-    Clock, Metrics, Reasons, StewardSettings, log_reader::LogReader, membership::Gossip,
+    Clock, CounterByReason, Metrics, StewardSettings, log_reader::LogReader, membership::Gossip,
 };
 use godwitspool_types::{HostName, Millis, Offset};
 use godwitspool_version::{HeldUsage, Record, RecordBody};
@@ -55,31 +55,34 @@
 #[derive(Debug)]
 pub(crate) struct Counts {
     /// Appends that failed.
-    pub(crate) append_errors: Reasons,
+    pub(crate) append_errors: CounterByReason,
     /// Records appended, by stream.
-    pub(crate) appends: Reasons,
+    pub(crate) appends: CounterByReason,
     /// Terms begun and ended on this host.
-    pub(crate) lease_steps: Reasons,
+    pub(crate) lease_steps: CounterByReason,
     /// Target orders, by how they ended.
-    pub(crate) orders: Reasons,
+    pub(crate) orders: CounterByReason,
     /// Usage reports, by how they ended.
-    pub(crate) reports: Reasons,
+    pub(crate) reports: CounterByReason,
     /// Weight swaps, by how they ended.
-    pub(crate) swaps: Reasons,
+    pub(crate) swaps: CounterByReason,
     /// Usage records, by what became of them.
-    pub(crate) usage: Reasons,
+    pub(crate) usage: CounterByReason,
 }
 
 impl Counts {
     pub(crate) fn new(metrics: &Metrics) -> Self {
         Self {
-            append_errors: metrics.reasons("append_errors", "Appends that failed, by reason"),
-            appends: metrics.reasons("appends", "Records appended to the log, by stream"),
-            lease_steps: metrics.reasons("lease_steps", "Terms begun and ended on this host"),
-            orders: metrics.reasons("orders", "Target orders, by how they ended"),
-            reports: metrics.reasons("usage_reports", "Usage reports, by how they ended"),
-            swaps: metrics.reasons("weight_swaps", "Weight swaps, by how they ended"),
-            usage: metrics.reasons("usage_records", "Usage records, by what became of them"),
+            append_errors: metrics
+                .counter_by_reason("append_errors", "Appends that failed, by reason"),
+            appends: metrics.counter_by_reason("appends", "Records appended to the log, by stream"),
+            lease_steps: metrics
+                .counter_by_reason("lease_steps", "Terms begun and ended on this host"),
+            orders: metrics.counter_by_reason("orders", "Target orders, by how they ended"),
+            reports: metrics.counter_by_reason("usage_reports", "Usage reports, by how they ended"),
+            swaps: metrics.counter_by_reason("weight_swaps", "Weight swaps, by how they ended"),
+            usage: metrics
+                .counter_by_reason("usage_records", "Usage records, by what became of them"),
         }
     }
 }
