--- a/crates/godwitspool-measure/src/control/membership.rs
+++ b/crates/godwitspool-measure/src/control/membership.rs
@@ -165,7 +165,7 @@
     for dc in 0..dcs {
         net.add_hosts(&format!("dc-{dc:02}"), 1);
     }
-    let found = net.run_until(FIND, |net| net.all_see_near(hosts));
+    let found = net.run_until(FIND, |net| net.all_see_local(hosts));
     assert!(found.is_some(), "{hosts} hosts don't find each other");
     net.loss = loss;
     net.run_for(Millis(10_000));
--- a/crates/godwitspool-process/src/membership/simulated.rs
+++ b/crates/godwitspool-process/src/membership/simulated.rs
@@ -202,7 +202,7 @@
     }
 
     /// Tells whether every host of the first host's data centre sees this many of them.
-    pub fn all_see_near(&self, members: usize) -> bool {
+    pub fn all_see_local(&self, members: usize) -> bool {
         let dc = self.dc(0);
         let near = |index: &usize| self.hosts[*index].is_running && self.dc(*index) == dc;
         (0..self.hosts.len()).filter(near).all(|index| {
--- a/crates/godwitspool-process/tests/membership.rs
+++ b/crates/godwitspool-process/tests/membership.rs
@@ -367,7 +367,7 @@
     for dc in 1..29 {
         net.add_hosts(&format!("dc-{dc:02}"), 1);
     }
-    assert!(net.run_until(MINUTE, |net| net.all_see_near(40)).is_some());
+    assert!(net.run_until(MINUTE, |net| net.all_see_local(40)).is_some());
     let sent: Vec<_> = net.hosts.iter().map(|host| host.sent.bytes).collect();
     net.run_for(Millis(10_000));
     for (host, before) in net.hosts.iter().zip(sent) {
