--- a/crates/godwitspool-process/src/log_reader/thread.rs
+++ b/crates/godwitspool-process/src/log_reader/thread.rs
@@ -263,7 +263,7 @@
         self.decide(ReadEvent::Came { next, end });
         if self.plan.state() == ReadState::Ready {
             self.shared.replica().set_ready();
-            self.shared.gossip.know(hints);
+            self.shared.gossip.raise_hints(hints);
         }
         self.shared.changed.notify_all();
     }
--- a/crates/godwitspool-process/src/membership.rs
+++ b/crates/godwitspool-process/src/membership.rs
@@ -1,11 +1,12 @@
-//! Membership: which hosts of the system live, leave and are gone.
+//! Membership: which hosts of the system are alive, leaving or down.
 //!
-//! Hosts of a data centre probe each other over UDP. A host that answers neither directly nor through
-//! others is suspected, and counts as gone when it hasn't spoken up in time. A data centre alone
-//! decides about its hosts; a few of them, the relays, tell other data centres. What hosts know
-//! spreads with the probes, so the bytes a host sends don't grow with the number of hosts.
+//! The protocol follows SWIM. Hosts of a data centre probe each other over UDP. A host that answers
+//! neither directly nor through indirect probes is suspected, and is marked down unless it refutes
+//! the suspicion in time. Only hosts of the same data centre judge a host's health; a few of them,
+//! the relays, pass it on to other data centres. Updates are piggybacked on the probes, so the
+//! bytes that a host sends don't grow with the number of hosts.
 //!
-//! [`Membership::decide`] is pure; [`Gossip`] carries its actions out over a socket.
+//! [`Membership::decide`] does no I/O; [`Gossip`] performs its actions over a socket.
 //!
 //! ```
 //! use godwitspool_process::membership::{MemberRecord, Membership, MembershipRules};
@@ -18,12 +19,12 @@
 
 mod core;
 mod datagram;
-mod distant;
 mod gossip;
 mod probe;
 mod queue;
 mod receive;
 mod record;
+mod remote;
 mod rules;
 pub mod simulated;
 mod table;
--- a/crates/godwitspool-process/src/membership/core.rs
+++ b/crates/godwitspool-process/src/membership/core.rs
@@ -1,4 +1,4 @@
-//! The decisions of membership.
+//! The membership state machine, without input or output.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,128 +11,128 @@
 
 use super::{
     Datagram, Health, Hints, MemberRecord, MembershipRules, Message, Rumor, RumorBody,
-    probe::{Errand, Probe},
-    queue::Queue,
+    probe::{IndirectProbe, Probe},
+    queue::GossipQueue,
     table::Table,
 };
 
-/// What happens to membership.
+/// An input to [`Membership::decide`].
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
-    /// The own process ends.
-    Gone,
-    /// The own process knows higher positions in the log.
-    Know(Hints),
-    /// The own host takes no new work.
+    /// The local process shuts down.
+    Stop,
+    /// The local process learned of higher positions in the log.
+    RaiseHints(Hints),
+    /// The local host stops accepting work.
     Leave,
-    /// The platform's lagging list, or the hosts of the settings.
-    Listed(Vec<HostEntry>),
-    /// A datagram came.
+    /// A list of hosts from the platform, which may be out of date, or from the settings.
+    HostList(Vec<HostEntry>),
+    /// A datagram was received.
     Received {
-        /// Its sender's address.
+        /// Address it was received from.
         from: SocketAddr,
-        /// The datagram.
+        /// The decoded datagram.
         datagram: Box<Datagram>,
     },
-    /// The own process has news to spread.
-    Tell(RumorBody),
-    /// Time has passed.
+    /// The local process starts a rumor.
+    SpreadRumor(RumorBody),
+    /// Advances time; due about every 25 ms.
     Tick,
 }
 
-/// What membership asks for.
+/// An output of [`Membership::decide`], to be carried out by the caller.
 #[derive(Clone, Debug)]
 pub enum MembershipAction {
-    /// The members or the hints have changed.
+    /// Notify subscribers that the members or the hints have changed.
     Changed,
-    /// A rumor came from another host.
-    Heard(RumorBody),
+    /// Notify subscribers of a rumor that was received for the first time.
+    NewRumor(RumorBody),
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// The datagram.
+        /// The datagram to encode and send.
         datagram: Box<Datagram>,
     },
 }
 
-/// What membership has counted.
+/// Event counters of one host, since its process started.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct MembershipCounts {
-    /// Hosts of the own data centre found gone.
+    /// Hosts of the local data centre declared down by this host.
     pub downs: u64,
-    /// Pauses of the own process that were noticed.
+    /// Times this process did not run for two probe intervals or more.
     pub pauses: u64,
-    /// Suspicions of the own host that it refuted.
+    /// Suspicions of this host that it refuted.
     pub refuted: u64,
-    /// Hosts that were suspected.
+    /// Suspicions of other hosts raised by this host.
     pub suspected: u64,
-    /// Records of the own name from a later life than the own one.
+    /// Records received under this host's name with a higher incarnation than its own.
     pub twins: u64,
 }
 
-/// What a host knows about the others.
+/// One host's view of the other hosts.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(super) counts: MembershipCounts,
-    pub(super) cut: BTreeSet<Dc>,
-    pub(super) distant_due: BTreeMap<Dc, Millis>,
-    pub(super) errands: Vec<Errand>,
-    pub(super) fill_from: Option<HostName>,
-    pub(super) heard: BTreeMap<Dc, Millis>,
+    pub(super) cut_off_dcs: BTreeSet<Dc>,
+    pub(super) remote_due: BTreeMap<Dc, Millis>,
+    pub(super) indirect_probes: Vec<IndirectProbe>,
+    pub(super) fill_after: Option<HostName>,
+    pub(super) last_contact: BTreeMap<Dc, Millis>,
     pub(super) hints: Hints,
     last_tick: Millis,
     pub(super) listed: Vec<HostEntry>,
     listed_leaving: BTreeSet<HostName>,
-    pub(super) next_distant: Millis,
+    pub(super) next_remote: Millis,
     next_probe: Millis,
     next_sequence: u64,
-    order: Vec<HostName>,
+    probe_order: Vec<HostName>,
     pub(super) own: MemberRecord,
     pub(super) probes: Vec<Probe>,
-    pub(super) queue: Queue,
+    pub(super) queue: GossipQueue,
     pub(super) rules: MembershipRules,
-    seed_turn: bool,
+    probe_absent_next: bool,
     pub(super) table: Table,
 }
 
 impl Membership {
-    /// Makes the state of a host that knows only itself.
+    /// Creates the state of a host that knows only itself.
     pub fn new(own: MemberRecord, rules: MembershipRules, now: Millis) -> Self {
-        let mut queue = Queue::default();
+        let mut queue = GossipQueue::default();
         queue.push_host(&own.host);
         Self {
             counts: MembershipCounts::default(),
-            cut: BTreeSet::new(),
-            distant_due: BTreeMap::new(),
-            errands: Vec::new(),
-            fill_from: None,
-            heard: BTreeMap::new(),
+            cut_off_dcs: BTreeSet::new(),
+            remote_due: BTreeMap::new(),
+            indirect_probes: Vec::new(),
+            fill_after: None,
+            last_contact: BTreeMap::new(),
             hints: Hints::default(),
             last_tick: now,
             listed: Vec::new(),
             listed_leaving: BTreeSet::new(),
-            next_distant: now,
+            next_remote: now,
             next_probe: now,
             next_sequence: 1,
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probes: Vec::new(),
             queue,
             rules,
-            seed_turn: false,
+            probe_absent_next: false,
             table: Table::new(own.dc.clone()),
             own,
         }
     }
 
-    /// Returns the hosts that live or leave: all of the own data centre, and some of each other data
-    /// centre that was heard lately.
+    /// Returns the hosts that are not down, this one included: all known hosts of the local data
+    /// centre, and some of each other data centre that is not cut off.
     pub fn members(&self, now: Millis) -> Vec<Member> {
-        let far = self
+        let remote = self
             .table
-            .far()
-            .filter(|record| self.hears(&record.dc, now));
-        let records = self.table.near().chain(far).chain([&self.own]);
+            .remote()
+            .filter(|record| self.is_heard(&record.dc, now));
+        let records = self.table.local().chain(remote).chain([&self.own]);
         let mut members: Vec<_> = records
             .map(|record| Member {
                 leaving: record.leaving || self.listed_leaving.contains(&record.host),
@@ -143,27 +143,28 @@
         members
     }
 
-    /// Returns the highest positions in the log that any host is known to know.
+    /// Returns the highest positions in the log that any host has reported.
     pub fn hints(&self) -> Hints {
         self.hints
     }
 
-    /// Returns what was counted.
+    /// Returns the event counters.
     pub fn counts(&self) -> MembershipCounts {
         self.counts
     }
 
-    /// Returns the own record.
+    /// Returns the local host's own record.
     pub fn own(&self) -> &MemberRecord {
         &self.own
     }
 
-    /// Returns the data centres that aren't heard.
+    /// Returns the other data centres from which nothing was received within
+    /// [`MembershipRules::remote_timeout`].
     pub fn cut_off(&self) -> &BTreeSet<Dc> {
-        &self.cut
+        &self.cut_off_dcs
     }
 
-    /// Decides what to do when something happens.
+    /// Applies an event and returns the actions that follow from it.
     pub fn decide(
         &mut self,
         event: MembershipEvent,
@@ -172,11 +173,11 @@
     ) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         match event {
-            MembershipEvent::Gone => {
+            MembershipEvent::Stop => {
                 self.own.health = Health::Down;
                 self.announce(now, rng, &mut actions);
             }
-            MembershipEvent::Know(hints) => {
+            MembershipEvent::RaiseHints(hints) => {
                 self.hints.raise(hints);
             }
             MembershipEvent::Leave if self.own.leaving => {}
@@ -184,7 +185,7 @@
                 self.own.leaving = true;
                 self.announce(now, rng, &mut actions);
             }
-            MembershipEvent::Listed(listed) => {
+            MembershipEvent::HostList(listed) => {
                 if self.listed != listed {
                     let leaving = listed.iter().filter(|entry| entry.leaving);
                     self.listed_leaving = leaving.map(|entry| entry.host.clone()).collect();
@@ -195,7 +196,7 @@
             MembershipEvent::Received { from, datagram } => {
                 self.receive(from, &datagram, now, &mut actions);
             }
-            MembershipEvent::Tell(body) => {
+            MembershipEvent::SpreadRumor(body) => {
                 let age = Millis::ZERO;
                 self.queue.push_rumor(&Rumor { body, age }, now);
                 self.broadcast(now, rng, &mut actions);
@@ -205,11 +206,9 @@
         actions
     }
 
-    // --- Time
-
     fn tick(&mut self, now: Millis, rng: &mut impl Rng, actions: &mut Vec<MembershipAction>) {
-        self.notice_pause(now);
-        self.follow_probes(now, rng, actions);
+        self.detect_pause(now);
+        self.check_probes(now, rng, actions);
         for record in self.table.expire(&self.rules, now) {
             self.counts.downs += 1;
             self.queue.push_host(&record.host);
@@ -217,55 +216,61 @@
         }
         if now >= self.next_probe {
             let jitter = rng.random_range(90..=110);
-            self.next_probe = now + Millis(self.rules.period.0 * jitter / 100);
+            self.next_probe = now + Millis(self.rules.probe_interval.0 * jitter / 100);
             self.probe_next(now, rng, actions);
-            self.seed_turn = !self.seed_turn;
-            if self.seed_turn {
-                self.ping_absent(now, rng, actions);
+            self.probe_absent_next = !self.probe_absent_next;
+            if self.probe_absent_next {
+                self.probe_absent(now, rng, actions);
             }
         }
-        self.ping_distant(now, rng, actions);
-        self.note_cuts(now, actions);
+        self.probe_remote(now, rng, actions);
+        self.update_cut_off(now, actions);
     }
 
-    /// A process that did not run has heard nobody, which says nothing about the others.
-    fn notice_pause(&mut self, now: Millis) {
+    /// Detects that this process did not run for a while and extends all timeouts by the pause.
+    ///
+    /// Missing acks say nothing about the other hosts when this process could not receive them.
+    fn detect_pause(&mut self, now: Millis) {
         let pause = now - self.last_tick;
         self.last_tick = now;
-        if pause < Millis(self.rules.period.0 * 2) {
+        if pause < Millis(self.rules.probe_interval.0 * 2) {
             return;
         }
         self.counts.pauses += 1;
         self.probes.clear();
-        self.errands.clear();
-        self.table.put_off(pause);
-        for heard in self.heard.values_mut() {
-            *heard = *heard + pause;
+        self.indirect_probes.clear();
+        self.table.extend_suspicions(pause);
+        for contact in self.last_contact.values_mut() {
+            *contact = *contact + pause;
         }
     }
 
-    fn follow_probes(
+    fn check_probes(
         &mut self,
         now: Millis,
         rng: &mut impl Rng,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let (answer, end) = (self.rules.answer, Millis(self.rules.period.0 * 2));
+        let (ack_timeout, timeout) = (
+            self.rules.ack_timeout,
+            Millis(self.rules.probe_interval.0 * 2),
+        );
         let mut open = std::mem::take(&mut self.probes);
         let failed: Vec<_> = open
-            .extract_if(.., |probe| now - probe.begun >= end)
+            .extract_if(.., |probe| now - probe.begun >= timeout)
             .collect();
         for probe in &mut open {
-            if !probe.indirect && now - probe.begun >= answer {
+            if !probe.indirect && now - probe.begun >= ack_timeout {
                 probe.indirect = true;
-                self.ask_others(probe, now, rng, actions);
+                self.request_indirect(probe, now, rng, actions);
             }
         }
         self.probes = open;
         for probe in failed {
             self.suspect(&probe.host, now, actions);
         }
-        self.errands.retain(|errand| now - errand.begun < end);
+        self.indirect_probes
+            .retain(|pending| now - pending.begun < timeout);
     }
 
     fn suspect(&mut self, host: &HostName, now: Millis, actions: &mut Vec<MembershipAction>) {
@@ -284,7 +289,7 @@
     }
 
     fn probe_next(&mut self, now: Millis, rng: &mut impl Rng, actions: &mut Vec<MembershipAction>) {
-        let Some(record) = self.next_in_order(rng) else {
+        let Some(record) = self.next_host(rng) else {
             return;
         };
         let sequence = self.sequence();
@@ -299,16 +304,16 @@
         actions.push(send(record.steward, ping));
     }
 
-    fn next_in_order(&mut self, rng: &mut impl Rng) -> Option<MemberRecord> {
-        if self.order.is_empty() {
-            self.order = self
+    fn next_host(&mut self, rng: &mut impl Rng) -> Option<MemberRecord> {
+        if self.probe_order.is_empty() {
+            self.probe_order = self
                 .table
-                .near()
+                .local()
                 .map(|record| record.host.clone())
                 .collect();
-            self.order.shuffle(rng);
+            self.probe_order.shuffle(rng);
         }
-        while let Some(host) = self.order.pop() {
+        while let Some(host) = self.probe_order.pop() {
             let known = self.table.get(&host).map(|known| &known.record);
             if let Some(record) = known.filter(|record| record.health != Health::Down) {
                 return Some(record.clone());
@@ -317,7 +322,7 @@
         None
     }
 
-    fn ask_others(
+    fn request_indirect(
         &mut self,
         probe: &Probe,
         now: Millis,
@@ -335,26 +340,25 @@
         }
     }
 
-    /// Picks hosts that may reach another over a path of their own, one of them far away.
+    /// Picks hosts to probe `host` indirectly. At least one is in another data centre if any is
+    /// known, since its network path differs.
     fn proxies(&self, host: &HostName, rng: &mut impl Rng) -> Vec<MemberRecord> {
         let alive = |record: &&MemberRecord| record.health == Health::Alive;
-        let near = self.table.near().filter(alive);
-        let mut near: Vec<_> = near
+        let local = self.table.local().filter(alive);
+        let mut local: Vec<_> = local
             .filter(|record| record.host != *host)
             .cloned()
             .collect();
-        let mut far: Vec<_> = self.table.far().filter(alive).cloned().collect();
-        near.shuffle(rng);
-        far.shuffle(rng);
-        near.truncate(self.rules.proxies);
-        far.truncate((self.rules.proxies - near.len()).max(1));
-        near.extend(far);
-        near
+        let mut remote: Vec<_> = self.table.remote().filter(alive).cloned().collect();
+        local.shuffle(rng);
+        remote.shuffle(rng);
+        local.truncate(self.rules.proxies);
+        remote.truncate((self.rules.proxies - local.len()).max(1));
+        local.extend(remote);
+        local
     }
 
-    // --- News
-
-    /// Tells a change of the own host at once.
+    /// Sends a change of the local host's record at once instead of with the next probes.
     fn announce(&mut self, now: Millis, rng: &mut impl Rng, actions: &mut Vec<MembershipAction>) {
         self.own.version += 1;
         self.queue.push_host(&self.own.host.clone());
@@ -364,16 +368,16 @@
 
     fn broadcast(&mut self, now: Millis, rng: &mut impl Rng, actions: &mut Vec<MembershipAction>) {
         const FANOUT: usize = 8;
-        let mut near: Vec<_> = self.table.near().cloned().collect();
-        near.shuffle(rng);
-        near.truncate(FANOUT);
-        let dcs = self.table.far_dcs();
-        let far = dcs.iter().filter_map(|dc| {
-            let mut hosts = self.table.far().filter(|record| record.dc == *dc);
+        let mut recipients: Vec<_> = self.table.local().cloned().collect();
+        recipients.shuffle(rng);
+        recipients.truncate(FANOUT);
+        let dcs = self.table.remote_dcs();
+        let remote = dcs.iter().filter_map(|dc| {
+            let mut hosts = self.table.remote().filter(|record| record.dc == *dc);
             hosts.next().cloned()
         });
-        near.extend(far.take(FANOUT));
-        for record in near {
+        recipients.extend(remote.take(FANOUT));
+        for record in recipients {
             let news = self.datagram(Message::News, Some(&record), false, now);
             actions.push(send(record.steward, news));
         }
--- a/crates/godwitspool-process/src/membership/datagram.rs
+++ b/crates/godwitspool-process/src/membership/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams and their coding.
+//! Gossip datagrams and their encoding.
 
 use godwitspool_types::{Dc, HostName, Incarnation, Millis, Offset};
 use rapidhash::v3::rapidhash_v3;
@@ -7,79 +7,80 @@
 
 use super::{MemberRecord, Rumor};
 
-/// Largest datagram, in bytes.
+/// Largest encoded datagram, in bytes.
 pub const DATAGRAM_BYTES: usize = 1_200;
 const CHECKSUM_BYTES: usize = 4;
 
-/// One message with what its sender knows.
+/// One message, with membership updates piggybacked on it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Datagram {
-    /// What is asked or answered.
+    /// The request or answer.
     pub message: Message,
-    /// The sender about itself.
+    /// The sender's own record.
     pub sender: MemberRecord,
-    /// Digest of the members that the sender knows.
+    /// Digest of the sender's member table. If a receiver in the same data centre has another
+    /// digest, it fills its answer with records.
     pub digest: u64,
-    /// Positions in the log.
+    /// Highest positions in the log known to the sender.
     pub hints: Hints,
-    /// When the sender's data centre last heard of others; only within a data centre.
+    /// Last contact with each other data centre; empty in datagrams to other data centres.
     pub heard: Vec<DcHeard>,
-    /// Hosts.
+    /// Records of other hosts.
     pub updates: Vec<MemberRecord>,
-    /// Other news.
+    /// Rumors that are not about hosts.
     pub rumors: Vec<Rumor>,
 }
 
-/// What a datagram asks or answers.
+/// The request or answer in a datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// Answers a probe.
+    /// Acknowledges a probe.
     Ack {
-        /// Number of the probe.
+        /// Sequence number of the acknowledged probe.
         sequence: u64,
-        /// The host that answered, when it was probed on behalf of another.
+        /// The probed host if the probe was indirect; `None` if the sender itself was probed.
         answered: Option<Answered>,
     },
-    /// Tells news and asks for nothing.
+    /// Carries updates only and expects no answer.
     News,
-    /// Asks for an answer.
+    /// Probes the receiver, which answers with [`Message::Ack`].
     Ping {
-        /// Number of the probe.
+        /// Sequence number of the probe.
         sequence: u64,
     },
-    /// Asks to probe a host on the sender's behalf.
+    /// Asks the receiver to probe a host on the sender's behalf.
     PingFor {
-        /// Number of the probe.
+        /// Sequence number of the sender's probe, to be returned in the ack.
         sequence: u64,
-        /// The host.
+        /// Host to probe.
         host: HostName,
         /// Address of its steward.
         address: std::net::SocketAddr,
     },
 }
 
-/// A host that answered a probe on behalf of another.
+/// A host that answered an indirect probe.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Answered {
-    /// The host.
+    /// Name of the probed host.
     pub host: HostName,
-    /// Its life.
+    /// Incarnation of the process that answered.
     pub life: Incarnation,
 }
 
-/// Positions in the log, each the highest that any host knows of.
+/// Positions in the log, each the highest that any host has reported.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hints {
-    /// End of the log.
+    /// End of the log, exclusive.
     pub end: Offset,
-    /// Offset up to which a host has folded, exclusive.
+    /// Offset up to which some host has applied the log, exclusive.
     pub folded: Offset,
-    /// Offset behind the last withdrawal of a key.
+    /// Offset after the last record that may have withdrawn a key.
     pub withdrawal: Offset,
 }
 
 impl Hints {
-    /// Raises each position to that of other hints, and tells whether one rose.
+    /// Raises each position to that of `other` if it is higher, and returns whether any changed.
     ///
     /// ```
     /// use godwitspool_process::membership::Hints;
@@ -101,58 +102,58 @@
     }
 }
 
-/// How long ago another data centre was heard.
+/// Time since the last contact with another data centre.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DcHeard {
-    /// The data centre.
+    /// The other data centre.
     pub dc: Dc,
-    /// Time since a word came from it.
+    /// Time since a datagram was received from it.
     pub age: Millis,
 }
 
-/// Why bytes are no datagram.
+/// Why a datagram can't be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum DatagramError {
-    /// It can't be encoded.
+    /// Serialization failed.
     #[snafu(display("datagram can't be encoded: {source}"))]
     Encode {
-        /// Cause.
+        /// Error of the serializer.
         source: postcard::Error,
     },
-    /// Too few bytes.
-    #[snafu(display("datagram of {bytes} bytes is too short"))]
+    /// Shorter than the checksum.
+    #[snafu(display("datagram of {bytes} bytes is shorter than its checksum"))]
     Short {
-        /// Size.
+        /// Size of the datagram.
         bytes: usize,
     },
-    /// The checksum differs.
-    #[snafu(display("checksum of a datagram of {bytes} bytes differs"))]
+    /// The checksum doesn't match the body.
+    #[snafu(display("checksum mismatch in a datagram of {bytes} bytes"))]
     Checksum {
-        /// Size.
+        /// Size of the datagram.
         bytes: usize,
     },
-    /// The body is not a datagram.
+    /// The checksum matches but the body can't be deserialized.
     #[snafu(display("datagram of {bytes} bytes can't be decoded: {source}"))]
     Damaged {
-        /// Size.
+        /// Size of the datagram.
         bytes: usize,
-        /// Cause.
+        /// Error of the deserializer.
         source: postcard::Error,
     },
-    /// It is larger than allowed.
-    #[snafu(display("datagram of {bytes} bytes exceeds {DATAGRAM_BYTES}"))]
+    /// Larger than [`DATAGRAM_BYTES`].
+    #[snafu(display("datagram of {bytes} bytes exceeds the limit of {DATAGRAM_BYTES}"))]
     Oversize {
-        /// Size.
+        /// Size of the datagram.
         bytes: usize,
     },
 }
 
 impl Datagram {
-    /// Codes the datagram behind a checksum.
+    /// Encodes the datagram as a checksum followed by the postcard-encoded body.
     ///
     /// # Errors
     ///
-    /// When it is too large.
+    /// Fails if the encoded datagram exceeds [`DATAGRAM_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, DatagramError> {
         let space = vec![0; CHECKSUM_BYTES];
         let mut bytes = postcard::to_extend(self, space).context(EncodeSnafu)?;
@@ -165,11 +166,12 @@
         Ok(bytes)
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
     ///
-    /// When the bytes are damaged.
+    /// Fails if the bytes are too few or too many, the checksum differs, or the body can't be
+    /// deserialized.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         let size = bytes.len();
         ensure!(size <= DATAGRAM_BYTES, OversizeSnafu { bytes: size });
--- a/crates/godwitspool-process/src/membership/gossip.rs
+++ b/crates/godwitspool-process/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership over a UDP socket.
+//! Runs [`Membership`] over a UDP socket.
 
 use std::{
     fmt, io,
@@ -21,35 +21,36 @@
 };
 use crate::{Clock, Metrics, Watched};
 
+/// Interval of [`MembershipEvent::Tick`], and the socket's receive timeout.
 const TICK: Duration = Duration::from_millis(25);
 
-/// What gossip tells its subscriber.
+/// A notification to the subscriber of [`Gossip`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GossipEvent {
     /// The members or the hints have changed.
     Changed,
-    /// A rumor came from another host.
-    Heard(RumorBody),
+    /// A rumor was received for the first time.
+    NewRumor(RumorBody),
 }
 
-/// What gossip has counted.
+/// Counters of a [`Gossip`] socket and its membership.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GossipCounts {
-    /// Datagrams that were damaged.
+    /// Received datagrams that could not be decoded.
     pub damaged: u64,
-    /// Of the decisions.
+    /// Counters of the membership state machine.
     pub membership: MembershipCounts,
-    /// Datagrams that came whole.
+    /// Received datagrams that were decoded.
     pub received: u64,
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of the datagrams sent.
+    /// Bytes of the datagrams sent, without IP and UDP headers.
     pub sent_bytes: u64,
-    /// Datagrams that could not be sent.
+    /// Datagrams that could not be encoded or sent.
     pub unsent: u64,
 }
 
-/// Membership of this host, kept by a thread until it is stopped or dropped.
+/// Membership of this host, run by a thread until it is stopped or dropped.
 ///
 /// ```
 /// use std::{net::UdpSocket, sync::mpsc};
@@ -93,11 +94,11 @@
 }
 
 impl Gossip {
-    /// Starts the thread.
+    /// Starts the gossip thread on a bound socket.
     ///
     /// # Errors
     ///
-    /// When the socket can't be set up or no thread can be started.
+    /// Fails if the socket's read timeout can't be set or the thread can't be started.
     pub fn start<Event>(
         socket: UdpSocket,
         own: MemberRecord,
@@ -130,56 +131,57 @@
         })
     }
 
-    /// Returns the hosts that live or leave, this one included.
+    /// Returns the hosts that are not down, this one included.
     pub fn members(&self) -> Vec<Member> {
         let now = self.shared.clock.now();
         self.shared.membership().members(now)
     }
 
-    /// Returns the highest positions in the log that any host is known to know.
+    /// Returns the highest positions in the log that any host has reported.
     pub fn hints(&self) -> Hints {
         self.shared.membership().hints()
     }
 
-    /// Returns the data centres that aren't heard.
+    /// Returns the other data centres that count as cut off.
     pub fn cut_off(&self) -> Vec<Dc> {
         self.shared.membership().cut_off().iter().cloned().collect()
     }
 
-    /// Returns what was counted.
+    /// Returns the counters.
     pub fn counts(&self) -> GossipCounts {
         self.shared.counts()
     }
 
-    /// Shows what was counted among a process's metrics.
+    /// Exports the counters as metrics.
     pub fn register(&self, metrics: &Metrics) {
         let shared = Arc::clone(&self.shared);
         metrics.watch(move || watched(&shared.counts()));
     }
 
-    /// Takes the platform's lagging list, or the hosts of the settings.
+    /// Replaces the list of hosts, which comes from the platform or the settings. It may be out of
+    /// date: a listed host that is not known is probed before it counts as a member.
     pub fn set_host_list(&self, hosts: Vec<HostEntry>) {
-        self.shared.decide(MembershipEvent::Listed(hosts));
+        self.shared.decide(MembershipEvent::HostList(hosts));
     }
 
-    /// Makes positions in the log known to other hosts.
-    pub fn know(&self, hints: Hints) {
-        self.shared.decide(MembershipEvent::Know(hints));
+    /// Raises the hints that are sent to other hosts.
+    pub fn raise_hints(&self, hints: Hints) {
+        self.shared.decide(MembershipEvent::RaiseHints(hints));
     }
 
-    /// Tells all hosts a rumor.
-    pub fn tell(&self, rumor: RumorBody) {
-        self.shared.decide(MembershipEvent::Tell(rumor));
+    /// Spreads a rumor to all hosts.
+    pub fn spread_rumor(&self, rumor: RumorBody) {
+        self.shared.decide(MembershipEvent::SpreadRumor(rumor));
     }
 
-    /// Tells all hosts that this one takes no new work.
+    /// Announces that this host accepts no new work.
     pub fn leave(&self) {
         self.shared.decide(MembershipEvent::Leave);
     }
 
-    /// Tells all hosts that this one is gone, and ends the thread.
+    /// Announces that this host is down, and ends the thread.
     pub fn stop(mut self) {
-        self.shared.decide(MembershipEvent::Gone);
+        self.shared.decide(MembershipEvent::Stop);
         self.end();
     }
 
@@ -191,7 +193,7 @@
     }
 }
 
-/// Ends the thread without a word, as a process that dies.
+/// Ends the thread without an announcement, so that other hosts see a crash.
 impl Drop for Gossip {
     fn drop(&mut self) {
         self.end();
@@ -217,27 +219,28 @@
     }
 
     fn run<Event: From<GossipEvent>>(&self, subscriber: &Sender<Event>) {
-        // One byte more than allowed, so that a longer datagram is seen as such.
+        // One byte more than the limit, so that an oversized datagram fails to decode instead of
+        // being truncated.
         let mut buffer = [0; DATAGRAM_BYTES + 1];
-        let mut ticked = self.clock.now();
+        let mut last_tick = self.clock.now();
         while !self.stopped.load(Ordering::Acquire) {
-            let mut told = Vec::new();
+            let mut events = Vec::new();
             match self.socket.recv_from(&mut buffer) {
-                Ok((size, from)) => told.extend(self.receive(from, &buffer[..size])),
-                Err(error) if passes(&error) => {}
+                Ok((size, from)) => events.extend(self.receive(from, &buffer[..size])),
+                Err(error) if is_transient(&error) => {}
                 Err(error) => {
-                    log::warn!("gossip can't receive: {error}");
+                    log::warn!("receiving a gossip datagram failed: {error}");
                     thread::sleep(TICK);
                 }
             }
-            if (self.clock.now() - ticked).duration() >= TICK {
-                ticked = self.clock.now();
-                told.extend(self.decide(MembershipEvent::Tick));
+            if (self.clock.now() - last_tick).duration() >= TICK {
+                last_tick = self.clock.now();
+                events.extend(self.decide(MembershipEvent::Tick));
             }
-            told.dedup();
-            for event in told {
+            events.dedup();
+            for event in events {
                 if subscriber.send(event.into()).is_err() {
-                    log::debug!("nobody listens to gossip");
+                    log::debug!("gossip event dropped: the subscriber is gone");
                 }
             }
         }
@@ -261,15 +264,15 @@
     fn decide(&self, event: MembershipEvent) -> Vec<GossipEvent> {
         let now = self.clock.now();
         let actions = self.membership().decide(event, now, &mut rand::rng());
-        let mut told = Vec::new();
+        let mut events = Vec::new();
         for action in actions {
             match action {
-                MembershipAction::Changed => told.push(GossipEvent::Changed),
-                MembershipAction::Heard(rumor) => told.push(GossipEvent::Heard(rumor)),
+                MembershipAction::Changed => events.push(GossipEvent::Changed),
+                MembershipAction::NewRumor(rumor) => events.push(GossipEvent::NewRumor(rumor)),
                 MembershipAction::Send { to, datagram } => self.send(to, &datagram),
             }
         }
-        told
+        events
     }
 
     fn send(&self, to: SocketAddr, datagram: &Datagram) {
@@ -284,14 +287,15 @@
             }
             Err(error) => {
                 self.unsent.fetch_add(1, Ordering::Relaxed);
-                log::debug!(peer:% = to; "datagram not sent: {error}");
+                log::debug!(peer:% = to; "sending a gossip datagram failed: {error}");
             }
         }
     }
 }
 
-/// Whether the time was up, or an earlier datagram met a closed port.
-fn passes(error: &io::Error) -> bool {
+/// Returns whether a receive only timed out, was interrupted, or reports that an earlier datagram
+/// was sent to a closed port.
+fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, Interrupted, TimedOut, WouldBlock};
     matches!(
         error.kind(),
--- a/crates/godwitspool-process/src/membership/probe.rs
+++ b/crates/godwitspool-process/src/membership/probe.rs
@@ -1,27 +1,27 @@
-//! Probes under way.
+//! Probes waiting for an ack.
 
 use std::net::SocketAddr;
 
 use godwitspool_types::{HostName, Millis};
 
-/// A probe of a host in the own data centre.
+/// A probe of a host in the local data centre.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub host: HostName,
     pub address: SocketAddr,
     pub sequence: u64,
     pub begun: Millis,
-    /// Set once others were asked to probe.
+    /// Set once other hosts were asked to probe the host.
     pub indirect: bool,
 }
 
 /// A probe on behalf of another host.
 #[derive(Clone, Debug)]
-pub(super) struct Errand {
+pub(super) struct IndirectProbe {
     pub sequence: u64,
     pub begun: Millis,
-    /// Who asked.
-    pub asker: SocketAddr,
-    /// The asker's number.
-    pub asked: u64,
+    /// Where to send the ack.
+    pub requester: SocketAddr,
+    /// Sequence number that the requester gave its probe.
+    pub request_sequence: u64,
 }
--- a/crates/godwitspool-process/src/membership/queue.rs
+++ b/crates/godwitspool-process/src/membership/queue.rs
@@ -1,4 +1,4 @@
-//! News that is still to be spread.
+//! Updates and rumors that are still being spread.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,24 @@
 use serde::{Deserialize, Serialize};
 
 const MAX_RUMORS: usize = 512;
-/// Time after which a rumor is no longer passed on.
-const RUMOR_LIFE: Millis = Millis(60_000);
+/// Time after which a rumor is forgotten.
+const RUMOR_LIFETIME: Millis = Millis(60_000);
 
-/// News beside that of hosts. It spreads to all hosts and is forgotten after a minute.
+/// Gossip that is not about a host. It spreads to all hosts and is forgotten after a minute.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Rumor {
-    /// What it says.
+    /// Contents; a host keeps one rumor for each distinct body.
     pub body: RumorBody,
-    /// Time since it was told first.
+    /// Time since the rumor was started.
     pub age: Millis,
 }
 
-/// What a rumor says.
+/// The contents of a rumor.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum RumorBody {
-    /// A target takes no new work.
+    /// A target accepts no new work.
     LeavingTarget(TargetName),
-    /// Requests of a fingerprint crash targets.
+    /// Requests with this fingerprint crash targets.
     Quarantined(u64),
 }
 
@@ -38,40 +38,42 @@
     }
 }
 
-/// Which news was sent how often.
+/// Hosts and rumors to spread, with the number of datagrams each was sent in.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Queue {
+pub(super) struct GossipQueue {
     hosts: BTreeMap<HostName, u32>,
-    rumors: BTreeMap<RumorBody, Spread>,
+    rumors: BTreeMap<RumorBody, RumorState>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Spread {
-    born: Millis,
+struct RumorState {
+    created: Millis,
     sent: u32,
 }
 
-impl Queue {
-    /// Spreads a host's record from now on.
+impl GossipQueue {
+    /// Queues a host's record, with its send count reset.
     pub fn push_host(&mut self, host: &HostName) {
         self.hosts.insert(host.clone(), 0);
     }
 
-    /// Spreads a rumor and tells whether it is news.
+    /// Queues a rumor and returns whether it is new.
+    ///
+    /// A rumor that is known, too old or finds the queue full is dropped.
     pub fn push_rumor(&mut self, rumor: &Rumor, now: Millis) -> bool {
         let full = self.rumors.len() >= MAX_RUMORS;
-        if full || rumor.age >= RUMOR_LIFE || self.rumors.contains_key(&rumor.body) {
+        if full || rumor.age >= RUMOR_LIFETIME || self.rumors.contains_key(&rumor.body) {
             return false;
         }
-        let born = now - rumor.age;
+        let created = now - rumor.age;
         self.rumors
-            .insert(rumor.body.clone(), Spread { born, sent: 0 });
+            .insert(rumor.body.clone(), RumorState { created, sent: 0 });
         true
     }
 
-    /// Takes the hosts to tell about next, least told first, each at most `sends` times.
-    pub fn next_hosts(&mut self, sends: u32) -> Vec<HostName> {
-        self.hosts.retain(|_, sent| *sent < sends);
+    /// Returns the queued hosts, least sent first, and drops those sent `max_sends` times.
+    pub fn next_hosts(&mut self, max_sends: u32) -> Vec<HostName> {
+        self.hosts.retain(|_, sent| *sent < max_sends);
         let mut hosts: Vec<_> = self
             .hosts
             .iter()
@@ -81,35 +83,36 @@
         hosts.into_iter().map(|(_, host)| host.clone()).collect()
     }
 
-    /// Notes that a host was told about.
-    pub fn sent_host(&mut self, host: &HostName) {
+    /// Counts a datagram that contains a host's record.
+    pub fn count_host_send(&mut self, host: &HostName) {
         if let Some(sent) = self.hosts.get_mut(host) {
             *sent += 1;
         }
     }
 
-    /// Takes rumors for a datagram; they use at most half of the room that is left.
-    pub fn take_rumors(&mut self, room: &mut usize, sends: u32, now: Millis) -> Vec<Rumor> {
-        let least = *room / 2;
+    /// Takes rumors for a datagram, least sent first. They use at most half of the room, so that
+    /// host records are not crowded out.
+    pub fn take_rumors(&mut self, room: &mut usize, max_sends: u32, now: Millis) -> Vec<Rumor> {
+        let min_room = *room / 2;
         self.rumors
-            .retain(|_, spread| now - spread.born < RUMOR_LIFE);
-        let mut waiting: Vec<_> = self
+            .retain(|_, state| now - state.created < RUMOR_LIFETIME);
+        let mut pending: Vec<_> = self
             .rumors
             .iter_mut()
-            .filter(|(_, spread)| spread.sent < sends)
+            .filter(|(_, state)| state.sent < max_sends)
             .collect();
-        waiting.sort_by_key(|(_, spread)| spread.sent);
+        pending.sort_by_key(|(_, state)| state.sent);
         let mut taken = Vec::new();
-        for (body, spread) in waiting {
+        for (body, state) in pending {
             let rumor = Rumor {
                 body: body.clone(),
-                age: now - spread.born,
+                age: now - state.created,
             };
-            if *room < least + rumor.bytes() {
+            if *room < min_room + rumor.bytes() {
                 break;
             }
             *room -= rumor.bytes();
-            spread.sent += 1;
+            state.sent += 1;
             taken.push(rumor);
         }
         taken
--- a/crates/godwitspool-process/src/membership/receive.rs
+++ b/crates/godwitspool-process/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What a host does with a datagram.
+//! Handling of received datagrams.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,11 @@
 
 use super::{
     Answered, Datagram, Health, MemberRecord, Membership, MembershipAction, Message, core::send,
-    probe::Errand,
+    probe::IndirectProbe,
 };
 
 impl Membership {
-    /// Takes a datagram.
+    /// Merges a datagram's contents and answers its message.
     pub(super) fn receive(
         &mut self,
         from: SocketAddr,
@@ -29,10 +29,10 @@
         }
         for rumor in &datagram.rumors {
             if self.queue.push_rumor(rumor, now) {
-                actions.push(MembershipAction::Heard(rumor.body.clone()));
+                actions.push(MembershipAction::NewRumor(rumor.body.clone()));
             }
         }
-        self.hear(datagram, now);
+        self.record_contact(datagram, now);
         if changed {
             actions.push(MembershipAction::Changed);
         }
@@ -49,12 +49,15 @@
         }
         self.queue.push_host(&record.host);
         if record.dc != self.own.dc {
-            self.table.bound_contacts(&record.dc, self.rules.relays);
+            self.table.limit_remote(&record.dc, self.rules.relays);
         }
         true
     }
 
-    /// Overrules what others say about the own host, unless it is so.
+    /// Refutes a record about the local host that would replace the host's own record, by raising
+    /// the own version, or the own incarnation if the record's is higher.
+    ///
+    /// A host that announced that it is down refutes nothing.
     fn answer_about_self(&mut self, record: &MemberRecord) {
         if self.own.health == Health::Down {
             return;
@@ -79,17 +82,17 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         let sender = &datagram.sender;
-        let near = sender.dc == self.own.dc;
-        let differs = near && datagram.digest != self.table.digest(&self.own);
+        let local = sender.dc == self.own.dc;
+        let differs = local && datagram.digest != self.table.digest(&self.own);
         match &datagram.message {
             Message::Ack { sequence, answered } => {
                 let host = answered
                     .as_ref()
                     .map_or(&sender.host, |answered| &answered.host);
-                // The address may be another host's by now.
+                // Another host may use the address by now, so the host name must match too.
                 self.probes
                     .retain(|probe| probe.sequence != *sequence || probe.host != *host);
-                self.finish_errand(*sequence, sender, now, actions);
+                self.finish_indirect(*sequence, sender, now, actions);
                 if differs {
                     let news = self.datagram(Message::News, Some(sender), true, now);
                     actions.push(send(from, news));
@@ -109,40 +112,43 @@
                 host,
                 address,
             } => {
-                let own = self.sequence();
-                self.errands.push(Errand {
-                    sequence: own,
+                let own_sequence = self.sequence();
+                self.indirect_probes.push(IndirectProbe {
+                    sequence: own_sequence,
                     begun: now,
-                    asker: from,
-                    asked: *sequence,
+                    requester: from,
+                    request_sequence: *sequence,
                 });
                 let about = self.table.get(host).map(|known| known.record.clone());
-                let ping = Message::Ping { sequence: own };
+                let ping = Message::Ping {
+                    sequence: own_sequence,
+                };
                 let ping = self.datagram(ping, about.as_ref(), false, now);
                 actions.push(send(*address, ping));
             }
         }
     }
 
-    fn finish_errand(
+    /// Forwards an ack to the host that requested the indirect probe.
+    fn finish_indirect(
         &mut self,
         sequence: u64,
         answered: &MemberRecord,
         now: Millis,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let done = |errand: &mut Errand| errand.sequence == sequence;
-        let finished: Vec<_> = self.errands.extract_if(.., done).collect();
-        for errand in finished {
+        let done = |pending: &mut IndirectProbe| pending.sequence == sequence;
+        let finished: Vec<_> = self.indirect_probes.extract_if(.., done).collect();
+        for pending in finished {
             let message = Message::Ack {
-                sequence: errand.asked,
+                sequence: pending.request_sequence,
                 answered: Some(Answered {
                     host: answered.host.clone(),
                     life: answered.life,
                 }),
             };
             let ack = self.datagram(message, Some(answered), false, now);
-            actions.push(send(errand.asker, ack));
+            actions.push(send(pending.requester, ack));
         }
     }
 }
--- a/crates/godwitspool-process/src/membership/record.rs
+++ b/crates/godwitspool-process/src/membership/record.rs
@@ -1,4 +1,4 @@
-//! What is told about a host.
+//! The record that hosts exchange about each host.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -6,52 +6,53 @@
 use godwitspool_types::{Dc, HostName, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// How a host is seen.
+/// Health of a host as other hosts see it.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub enum Health {
-    /// It answers.
+    /// The host answers probes.
     #[default]
     Alive,
-    /// It didn't answer and has yet to speak up.
+    /// The host did not answer a probe and has not refuted the suspicion yet.
     Suspect,
-    /// It is gone.
+    /// The host shut down, or did not refute a suspicion in time.
     Down,
 }
 
-/// What is told about a host.
+/// A host's addresses, incarnation and health.
 ///
-/// Of two records the one with the higher life, then the higher version, then the worse health holds.
-/// Only the host itself raises its version, to refute a suspicion or to say that it leaves.
+/// Of two records for a host, the one with the higher incarnation replaces the other; if those are
+/// equal, the higher version decides, then the worse health. Only the host itself raises its
+/// version, to refute a suspicion or to announce that it leaves or shuts down.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MemberRecord {
-    /// Name.
+    /// Name of the host, unique in the system.
     pub host: HostName,
-    /// Data centre.
+    /// Data centre of the host.
     pub dc: Dc,
-    /// Address of the entry for other entries.
+    /// Address of the host's entry for other entries.
     pub entry: SocketAddr,
-    /// Address of the steward, for calls and gossip.
+    /// Address of the host's steward: TCP calls and UDP gossip.
     pub steward: SocketAddr,
-    /// Life of the steward.
+    /// Incarnation of the steward process.
     pub life: Incarnation,
-    /// Counts what the host says about itself in this life.
+    /// Number of changes that the host made to its own record in this incarnation.
     pub version: u32,
-    /// How it is seen.
+    /// Health of the host.
     pub health: Health,
-    /// Set when it takes no new work.
+    /// Set when the host accepts no new work.
     pub leaving: bool,
 }
 
 impl Default for MemberRecord {
     fn default() -> Self {
-        let nowhere = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
+        let unset = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
         Self {
             host: HostName::default(),
             dc: Dc::default(),
-            entry: nowhere,
-            steward: nowhere,
+            entry: unset,
+            steward: unset,
             life: Incarnation::default(),
             version: 0,
             health: Health::default(),
@@ -75,13 +76,13 @@
         self
     }
 
-    /// Sets the life.
+    /// Sets the incarnation of the steward process.
     pub fn with_life(mut self, life: Incarnation) -> Self {
         self.life = life;
         self
     }
 
-    /// Returns whether this record replaces another about the same host.
+    /// Returns whether this record replaces another one for the same host.
     pub fn replaces(&self, other: &Self) -> bool {
         self.rank() > other.rank()
     }
--- a/crates/godwitspool-process/src/membership/distant.rs
+++ b/crates/godwitspool-process/src/membership/remote.rs
@@ -1,4 +1,4 @@
-//! What goes into a datagram, and what passes between data centres.
+//! Datagram contents, and probes between data centres.
 
 use std::net::SocketAddr;
 
@@ -10,19 +10,19 @@
     core::send, table::rank,
 };
 
-/// Room for a datagram's message, numbers and lengths.
-const FRAME_BYTES: usize = 160;
-/// Most time that a datagram takes within a data centre; without it, an age that is passed around
-/// would not grow as fast as time passes.
-const HOP: Millis = Millis(10);
-/// Rounds over which the probes of other data centres are spread.
-const DISTANT_ROUNDS: u64 = 8;
+/// Space in a datagram reserved for its message, numbers and length prefixes.
+const FRAME_OVERHEAD_BYTES: usize = 160;
+/// Upper bound on the delivery time of a datagram within a data centre. It is added to every
+/// received contact age; otherwise an age that hosts pass on would grow slower than real time.
+const MAX_HOP_DELAY: Millis = Millis(10);
+/// Number of rounds in each `remote_interval` over which the probes are spread.
+const REMOTE_ROUNDS: u64 = 8;
 
 impl Membership {
-    /// Builds a datagram and fills it with news.
+    /// Builds a datagram and fills it with pending updates.
     ///
-    /// A host that is told about itself can refute. `fill` adds further hosts in turn, for a receiver
-    /// that is known to know others.
+    /// If the receiver is suspected or down, its own record is included so that it can refute it.
+    /// `fill` adds further records round-robin, for a receiver whose table differs from this one.
     pub(super) fn datagram(
         &mut self,
         message: Message,
@@ -30,25 +30,25 @@
         fill: bool,
         now: Millis,
     ) -> Datagram {
-        let near = to.is_none_or(|to| to.dc == self.own.dc);
-        let heard = if near {
-            self.heard_ages(now)
+        let local = to.is_none_or(|to| to.dc == self.own.dc);
+        let heard = if local {
+            self.contact_ages(now)
         } else {
             Vec::new()
         };
         let heard_bytes: usize = heard.iter().map(|heard| heard.dc.as_str().len() + 12).sum();
-        let used = FRAME_BYTES + self.own.bytes() + heard_bytes;
+        let used = FRAME_OVERHEAD_BYTES + self.own.bytes() + heard_bytes;
         let mut room = DATAGRAM_BYTES.saturating_sub(used);
-        let sends = self.rules.sends(self.table.near().count() + 1);
+        let max_sends = self.rules.max_sends(self.table.local().count() + 1);
         let mut updates = Vec::new();
         let about = to.and_then(|to| self.table.get(&to.host));
         if let Some(known) = about.filter(|known| known.record.health != Health::Alive) {
             push(&mut updates, &mut room, &known.record);
         }
-        let rumors = self.queue.take_rumors(&mut room, sends, now);
-        self.add_news(&mut updates, &mut room, near, sends);
+        let rumors = self.queue.take_rumors(&mut room, max_sends, now);
+        self.add_updates(&mut updates, &mut room, local, max_sends);
         if fill {
-            self.add_in_turn(&mut updates, &mut room);
+            self.add_round_robin(&mut updates, &mut room);
         }
         Datagram {
             message,
@@ -61,35 +61,39 @@
         }
     }
 
-    fn add_news(
+    /// Adds queued records until the room is used up.
+    ///
+    /// Datagrams to another data centre start with the local relays; other local hosts are only
+    /// included if they are suspected or down.
+    fn add_updates(
         &mut self,
         updates: &mut Vec<MemberRecord>,
         room: &mut usize,
-        near: bool,
-        sends: u32,
+        local: bool,
+        max_sends: u32,
     ) {
-        if !near {
+        if !local {
             for record in self.relays() {
                 push(updates, room, &record);
             }
         }
-        for host in self.queue.next_hosts(sends) {
+        for host in self.queue.next_hosts(max_sends) {
             let Some(record) = self.table.get(&host).map(|known| known.record.clone()) else {
-                self.queue.sent_host(&host);
+                self.queue.count_host_send(&host);
                 continue;
             };
-            let told = !near && record.dc == self.own.dc && record.health == Health::Alive;
-            if told || updates.iter().any(|update| update.host == host) {
+            let skipped = !local && record.dc == self.own.dc && record.health == Health::Alive;
+            if skipped || updates.iter().any(|update| update.host == host) {
                 continue;
             }
             if !push(updates, room, &record) {
                 return;
             }
-            self.queue.sent_host(&host);
+            self.queue.count_host_send(&host);
         }
     }
 
-    fn add_in_turn(&mut self, updates: &mut Vec<MemberRecord>, room: &mut usize) {
+    fn add_round_robin(&mut self, updates: &mut Vec<MemberRecord>, room: &mut usize) {
         let live = |record: &&MemberRecord| record.health != Health::Down;
         let records: Vec<_> = self
             .table
@@ -97,7 +101,7 @@
             .map(|known| &known.record)
             .filter(live)
             .collect();
-        let from = self.fill_from.as_ref();
+        let from = self.fill_after.as_ref();
         let start = records
             .iter()
             .position(|record| from.is_none_or(|from| record.host > *from));
@@ -113,18 +117,17 @@
             }
             last = Some(record.host.clone());
         }
-        self.fill_from = last.or_else(|| self.fill_from.take());
+        self.fill_after = last.or_else(|| self.fill_after.take());
     }
 
-    // --- Relays
-
-    /// Returns the hosts of the own data centre that speak with others: the first few by rank.
+    /// Returns the relays: the live hosts with the lowest ranks in the local data centre. They
+    /// alone probe other data centres.
     fn relays(&self) -> Vec<MemberRecord> {
-        let near = self
+        let local = self
             .table
-            .near()
+            .local()
             .filter(|record| record.health == Health::Alive);
-        let mut relays: Vec<_> = near.chain([&self.own]).collect();
+        let mut relays: Vec<_> = local.chain([&self.own]).collect();
         relays.sort_by_key(|record| rank(&record.host));
         relays
             .into_iter()
@@ -135,51 +138,55 @@
 
     fn is_relay(&self) -> bool {
         let own = rank(&self.own.host);
-        let near = self
+        let local = self
             .table
-            .near()
+            .local()
             .filter(|record| record.health == Health::Alive);
-        near.filter(|record| rank(&record.host) < own).count() < self.rules.relays
+        local.filter(|record| rank(&record.host) < own).count() < self.rules.relays
     }
 
-    /// Probes other data centres, if this host is a relay.
-    pub(super) fn ping_distant(
+    /// Probes one host of each other data centre that is due, if this host is a relay.
+    pub(super) fn probe_remote(
         &mut self,
         now: Millis,
         rng: &mut impl Rng,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if now < self.next_distant || !self.is_relay() {
+        if now < self.next_remote || !self.is_relay() {
             return;
         }
         for dc in self.other_dcs() {
-            let due = self.distant_due.get(&dc).copied().unwrap_or_default();
+            let due = self.remote_due.get(&dc).copied().unwrap_or_default();
             if now < due {
                 continue;
             }
-            let span = self.rules.distant.0 * rng.random_range(75..=125) / 100;
-            self.distant_due.insert(dc.clone(), now + Millis(span));
-            if let Some((to, record)) = self.pick_distant(&dc, rng) {
+            let span = self.rules.remote_interval.0 * rng.random_range(75..=125) / 100;
+            self.remote_due.insert(dc.clone(), now + Millis(span));
+            if let Some((to, record)) = self.pick_remote(&dc, rng) {
                 let sequence = self.sequence();
                 let ping = self.datagram(Message::Ping { sequence }, Some(&record), false, now);
                 actions.push(send(to, ping));
             }
         }
-        self.next_distant = now + Millis(self.rules.distant.0 / DISTANT_ROUNDS);
+        self.next_remote = now + Millis(self.rules.remote_interval.0 / REMOTE_ROUNDS);
     }
 
     fn other_dcs(&self) -> Vec<Dc> {
         let listed = self.listed.iter().map(|entry| entry.dc.clone());
-        let mut dcs: Vec<_> = listed.chain(self.table.far_dcs()).collect();
+        let mut dcs: Vec<_> = listed.chain(self.table.remote_dcs()).collect();
         dcs.sort();
         dcs.dedup();
         dcs.retain(|dc| *dc != self.own.dc);
         dcs
     }
 
-    /// Picks a host of another data centre, known from gossip or only from the list.
-    fn pick_distant(&self, dc: &Dc, rng: &mut impl Rng) -> Option<(SocketAddr, MemberRecord)> {
-        let known = self.table.far().filter(|record| record.dc == *dc).cloned();
+    /// Picks a random host of another data centre from the member table and the host list.
+    fn pick_remote(&self, dc: &Dc, rng: &mut impl Rng) -> Option<(SocketAddr, MemberRecord)> {
+        let known = self
+            .table
+            .remote()
+            .filter(|record| record.dc == *dc)
+            .cloned();
         let mut hosts: Vec<_> = known.collect();
         for entry in self.listed.iter().filter(|entry| entry.dc == *dc) {
             if !hosts.iter().any(|record| record.host == entry.host) {
@@ -191,8 +198,9 @@
             .map(|record| (record.steward, record.clone()))
     }
 
-    /// Probes a host of the own data centre that is listed or was known, but isn't there.
-    pub(super) fn ping_absent(
+    /// Probes a random host of the local data centre that is down, or is in the host list but not
+    /// in the member table.
+    pub(super) fn probe_absent(
         &mut self,
         now: Millis,
         rng: &mut impl Rng,
@@ -202,13 +210,13 @@
         let listed = listed.map(MemberRecord::from);
         let known = self
             .table
-            .of(&self.own.dc)
+            .in_dc(&self.own.dc)
             .map(|known| known.record.clone());
         let mut absent: Vec<_> = listed.chain(known).collect();
         absent.retain(|record| {
             let known = self.table.get(&record.host);
-            let there = known.is_some_and(|known| known.record.health != Health::Down);
-            record.host != self.own.host && !there
+            let present = known.is_some_and(|known| known.record.health != Health::Down);
+            record.host != self.own.host && !present
         });
         if let Some(record) = absent.choose(rng).cloned() {
             let sequence = self.sequence();
@@ -217,47 +225,50 @@
         }
     }
 
-    // --- What is heard
-
-    /// Notes that a data centre was heard, here or by the sender.
-    pub(super) fn hear(&mut self, datagram: &Datagram, now: Millis) {
+    /// Records contact with another data centre, made by this host or reported by the sender.
+    pub(super) fn record_contact(&mut self, datagram: &Datagram, now: Millis) {
         let sender = &datagram.sender.dc;
         if *sender != self.own.dc {
-            self.heard.insert(sender.clone(), now);
+            self.last_contact.insert(sender.clone(), now);
             return;
         }
         for heard in &datagram.heard {
-            let at = now - (heard.age + HOP);
-            let known = self.heard.entry(heard.dc.clone()).or_insert(at);
+            let at = now - (heard.age + MAX_HOP_DELAY);
+            let known = self.last_contact.entry(heard.dc.clone()).or_insert(at);
             *known = at.max(*known);
         }
     }
 
-    pub(super) fn hears(&self, dc: &Dc, now: Millis) -> bool {
-        let heard = self.heard.get(dc);
-        heard.is_some_and(|at| now - *at < self.rules.cut_off)
+    /// Returns whether the last contact with a data centre is recent enough that it is not cut off.
+    pub(super) fn is_heard(&self, dc: &Dc, now: Millis) -> bool {
+        let contact = self.last_contact.get(dc);
+        contact.is_some_and(|at| now - *at < self.rules.remote_timeout)
     }
 
-    pub(super) fn note_cuts(&mut self, now: Millis, actions: &mut Vec<MembershipAction>) {
+    pub(super) fn update_cut_off(&mut self, now: Millis, actions: &mut Vec<MembershipAction>) {
         let dcs = self.other_dcs();
-        let cut = dcs.into_iter().filter(|dc| !self.hears(dc, now)).collect();
-        if self.cut != cut {
-            self.cut = cut;
+        let unheard = dcs
+            .into_iter()
+            .filter(|dc| !self.is_heard(dc, now))
+            .collect();
+        if self.cut_off_dcs != unheard {
+            self.cut_off_dcs = unheard;
             actions.push(MembershipAction::Changed);
         }
     }
 
-    fn heard_ages(&self, now: Millis) -> Vec<DcHeard> {
-        let heard = self.heard.iter().map(|(dc, at)| DcHeard {
+    fn contact_ages(&self, now: Millis) -> Vec<DcHeard> {
+        let heard = self.last_contact.iter().map(|(dc, at)| DcHeard {
             dc: dc.clone(),
             age: now - *at,
         });
         heard
-            .filter(|heard| heard.age < self.rules.cut_off)
+            .filter(|heard| heard.age < self.rules.remote_timeout)
             .collect()
     }
 }
 
+/// Adds a record if it fits into the room that is left, and returns whether it did.
 fn push(updates: &mut Vec<MemberRecord>, room: &mut usize, record: &MemberRecord) -> bool {
     let Some(left) = room.checked_sub(record.bytes()) else {
         return false;
--- a/crates/godwitspool-process/src/membership/rules.rs
+++ b/crates/godwitspool-process/src/membership/rules.rs
@@ -1,52 +1,54 @@
-//! Times and bounds of membership.
+//! Timing and limits of membership.
 
 use godwitspool_types::Millis;
 
-/// Times and bounds of membership.
+/// Timing and limits of membership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MembershipRules {
-    /// Time between probes of hosts in the own data centre.
-    pub period: Millis,
-    /// Time for a direct answer, before others are asked to probe.
-    pub answer: Millis,
-    /// Hosts asked to probe on behalf of another.
+    /// Time between a host's probes in the local data centre, with a jitter of 10 %.
+    pub probe_interval: Millis,
+    /// Time to wait for an ack before other hosts are asked to probe indirectly.
+    pub ack_timeout: Millis,
+    /// Number of hosts asked for an indirect probe.
     pub proxies: usize,
-    /// Periods from suspicion to down, beside one for each doubling of hosts.
-    pub patience: u32,
-    /// Hosts of a data centre that speak with other data centres.
+    /// Probe intervals from suspicion to down; one more is added for each doubling of hosts.
+    pub suspicion_periods: u32,
+    /// Number of hosts in a data centre that probe other data centres.
     pub relays: usize,
-    /// Time between probes of each other data centre, by each relay.
-    pub distant: Millis,
-    /// Time without a word after which another data centre counts as cut off.
-    pub cut_off: Millis,
-    /// Time for which a host that is gone is remembered and probed again now and then.
-    pub remember: Millis,
+    /// Time between a relay's probes of each other data centre, with a jitter of 25 %.
+    pub remote_interval: Millis,
+    /// Time without contact after which another data centre counts as cut off.
+    pub remote_timeout: Millis,
+    /// Time for which a host that is down is kept in the table and probed occasionally.
+    pub down_retention: Millis,
 }
 
 impl Default for MembershipRules {
     fn default() -> Self {
         Self {
-            period: Millis(250),
-            answer: Millis(80),
+            probe_interval: Millis(250),
+            ack_timeout: Millis(80),
             proxies: 3,
-            patience: 6,
+            suspicion_periods: 6,
             relays: 4,
-            distant: Millis(2_000),
-            cut_off: Millis(5_000),
-            remember: Millis(3_600_000),
+            remote_interval: Millis(2_000),
+            remote_timeout: Millis(5_000),
+            down_retention: Millis(3_600_000),
         }
     }
 }
 
 impl MembershipRules {
-    /// Returns the time from suspicion to down among a number of hosts.
-    pub fn suspicion(&self, hosts: usize) -> Millis {
+    /// Returns the time from suspicion to down in a data centre with a number of hosts.
+    pub fn suspicion_timeout(&self, hosts: usize) -> Millis {
         let doublings = u64::from(hosts.max(1).ilog2());
-        Millis(self.period.0 * (u64::from(self.patience) + doublings))
+        Millis(self.probe_interval.0 * (u64::from(self.suspicion_periods) + doublings))
     }
 
-    /// Returns how often a piece of news is sent among a number of hosts.
-    pub fn sends(&self, hosts: usize) -> u32 {
+    /// Returns how often a host sends an update in a data centre with a number of hosts.
+    ///
+    /// The number grows with the logarithm of the hosts, as the rounds that gossip needs do.
+    pub fn max_sends(&self, hosts: usize) -> u32 {
         const SENDS_PER_DOUBLING: u32 = 3;
         SENDS_PER_DOUBLING * (hosts.max(1).ilog2() + 1)
     }
--- a/crates/godwitspool-process/src/membership/simulated.rs
+++ b/crates/godwitspool-process/src/membership/simulated.rs
@@ -1,4 +1,4 @@
-//! Hosts on a simulated network, for tests and measurements of the decisions.
+//! Hosts on a simulated network, for tests and measurements of [`Membership`].
 //!
 //! ```
 //! use godwitspool_process::membership::simulated::Net;
@@ -26,60 +26,60 @@
 };
 
 const TICK: Millis = Millis(25);
-const NEAR_DELAY: Millis = Millis(1);
-const FAR_DELAY: Millis = Millis(20);
-/// Bytes of the headers of IP and UDP.
+const LOCAL_DELAY: Millis = Millis(1);
+const REMOTE_DELAY: Millis = Millis(20);
+/// IP and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
 const PORT: u16 = 7_000;
 
-/// A host on the network.
+/// A host on the simulated network.
 #[derive(Debug)]
 pub struct SimulatedHost {
-    /// Its address.
+    /// Address of its steward, by which datagrams reach it.
     pub address: SocketAddr,
-    /// Rumors that came to it.
+    /// Rumors that it received, in order.
     pub rumors: Vec<RumorBody>,
-    /// Its state.
+    /// Its membership state machine.
     pub membership: Membership,
-    /// Whether its process runs.
+    /// Whether its process runs. A stopped process neither ticks nor receives.
     pub is_running: bool,
-    /// What it sent.
+    /// Traffic that it sent.
     pub sent: Traffic,
-    /// Processor time of its decisions and codings.
+    /// Elapsed time spent in its decisions and in encoding and decoding its datagrams.
     pub busy_time: Duration,
     next_tick: Millis,
 }
 
-/// What a host sent.
+/// Traffic sent by a host, including lost datagrams.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Bytes, with the headers of IP and UDP.
+    /// Bytes sent, with IP and UDP headers.
     pub bytes: u64,
-    /// Datagrams.
+    /// Datagrams sent.
     pub datagrams: u64,
 }
 
-/// Hosts and the network between them.
+/// Simulated hosts and the network between them.
 #[derive(Debug)]
 pub struct Net {
-    /// Pairs of hosts, by index, between which nothing passes in that direction.
+    /// Links `(from, to)`, by host index, that drop all datagrams.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// Share of datagrams that are lost.
+    /// Probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// The hosts.
+    /// All hosts, in the order they were added.
     pub hosts: Vec<SimulatedHost>,
-    /// The time.
+    /// Simulated time.
     pub now: Millis,
-    /// Times and bounds for hosts that are added.
+    /// Rules for hosts that are added or restarted.
     pub rules: MembershipRules,
     by_address: BTreeMap<SocketAddr, usize>,
-    flights: BinaryHeap<Reverse<Flight>>,
+    in_flight: BinaryHeap<Reverse<InFlight>>,
     sent_count: u64,
     rng: StdRng,
 }
 
 #[derive(Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Flight {
+struct InFlight {
     due: Millis,
     number: u64,
     from: usize,
@@ -88,12 +88,12 @@
 }
 
 impl Net {
-    /// Makes an empty network.
+    /// Creates a network without hosts or loss. Equal seeds give equal runs.
     pub fn new(seed: u64) -> Self {
         Self {
             by_address: BTreeMap::new(),
             cuts: BTreeSet::new(),
-            flights: BinaryHeap::new(),
+            in_flight: BinaryHeap::new(),
             sent_count: 0,
             hosts: Vec::new(),
             loss: 0.0,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Adds hosts of a data centre. All hosts are told the list of all.
+    /// Adds hosts to a data centre and sends every host the new host list.
     pub fn add_hosts(&mut self, dc: &str, hosts: usize) {
         for _ in 0..hosts {
             let index = self.hosts.len();
@@ -125,30 +125,30 @@
                 busy_time: Duration::ZERO,
             });
         }
-        self.list_all();
+        self.send_host_list();
     }
 
-    /// Tells every host the platform's list of all hosts.
-    pub fn list_all(&mut self) {
+    /// Gives every host a list of all hosts, as the platform does.
+    pub fn send_host_list(&mut self) {
         let own = self.hosts.iter().map(|host| host.membership.own());
         let listed: Vec<_> = own.map(listing).collect();
         for index in 0..self.hosts.len() {
-            self.tell(index, MembershipEvent::Listed(listed.clone()));
+            self.apply(index, MembershipEvent::HostList(listed.clone()));
         }
     }
 
-    /// Lets something happen to a host.
-    pub fn tell(&mut self, index: usize, event: MembershipEvent) {
+    /// Applies an event to a host and performs the actions that follow.
+    pub fn apply(&mut self, index: usize, event: MembershipEvent) {
         let (now, begun) = (self.now, Instant::now());
         let host = &mut self.hosts[index];
         let actions = host.membership.decide(event, now, &mut self.rng);
         host.busy_time += begun.elapsed();
         for action in actions {
-            self.carry_out(index, action);
+            self.perform(index, action);
         }
     }
 
-    /// Replaces a host's process by a new one on the same address.
+    /// Replaces a host's process with a new incarnation on the same address.
     pub fn restart(&mut self, index: usize) {
         let now = self.now;
         let rules = self.rules;
@@ -161,10 +161,10 @@
         host.membership = Membership::new(record, rules, now);
         host.next_tick = now;
         host.is_running = true;
-        self.list_all();
+        self.send_host_list();
     }
 
-    /// Cuts or joins two hosts in both directions.
+    /// Cuts or restores the link between two hosts in both directions.
     pub fn cut(&mut self, one: usize, other: usize, cut: bool) {
         for pair in [(one, other), (other, one)] {
             if cut {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time by a span.
     pub fn run_for(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Lets time pass until a condition holds, and returns how long it took.
+    /// Advances the simulated time until a condition holds and returns how long that took, or
+    /// `None` if it does not hold within the bound.
     pub fn run_until(&mut self, bound: Millis, holds: impl Fn(&Self) -> bool) -> Option<Millis> {
         let begun = self.now;
         while !holds(self) {
@@ -195,23 +196,24 @@
         Some(self.now - begun)
     }
 
-    /// Tells whether every running host sees this many members.
+    /// Returns whether every running host sees this number of members.
     pub fn all_see(&self, members: usize) -> bool {
         let mut running = self.hosts.iter().filter(|host| host.is_running);
         running.all(|host| host.membership.members(self.now).len() == members)
     }
 
-    /// Tells whether every host of the first host's data centre sees this many of them.
+    /// Returns whether every running host of the first host's data centre sees this number of
+    /// members in it.
     pub fn all_see_local(&self, members: usize) -> bool {
         let dc = self.dc(0);
-        let near = |index: &usize| self.hosts[*index].is_running && self.dc(*index) == dc;
-        (0..self.hosts.len()).filter(near).all(|index| {
+        let local = |index: &usize| self.hosts[*index].is_running && self.dc(*index) == dc;
+        (0..self.hosts.len()).filter(local).all(|index| {
             let seen = self.hosts[index].membership.members(self.now);
             seen.iter().filter(|member| member.dc == *dc).count() == members
         })
     }
 
-    /// Tells whether a host sees another.
+    /// Returns whether a host sees another as a member.
     pub fn sees(&self, one: usize, other: usize) -> bool {
         let name = &self.hosts[other].membership.own().host;
         let members = self.hosts[one].membership.members(self.now);
@@ -225,24 +227,24 @@
 
     fn step(&mut self) {
         self.now = self.now + Millis(1);
-        while self.next_flight().is_some_and(|due| due <= self.now) {
-            if let Some(Reverse(flight)) = self.flights.pop() {
+        while self.next_delivery().is_some_and(|due| due <= self.now) {
+            if let Some(Reverse(flight)) = self.in_flight.pop() {
                 self.deliver(&flight);
             }
         }
         for index in 0..self.hosts.len() {
             if self.hosts[index].is_running && self.hosts[index].next_tick <= self.now {
                 self.hosts[index].next_tick = self.now + TICK;
-                self.tell(index, MembershipEvent::Tick);
+                self.apply(index, MembershipEvent::Tick);
             }
         }
     }
 
-    fn next_flight(&self) -> Option<Millis> {
-        self.flights.peek().map(|Reverse(flight)| flight.due)
+    fn next_delivery(&self) -> Option<Millis> {
+        self.in_flight.peek().map(|Reverse(flight)| flight.due)
     }
 
-    fn deliver(&mut self, flight: &Flight) {
+    fn deliver(&mut self, flight: &InFlight) {
         if !self.hosts[flight.to].is_running {
             return;
         }
@@ -254,14 +256,14 @@
                 from: self.hosts[flight.from].address,
                 datagram: Box::new(datagram),
             };
-            self.tell(flight.to, event);
+            self.apply(flight.to, event);
         }
     }
 
-    fn carry_out(&mut self, from: usize, action: MembershipAction) {
+    fn perform(&mut self, from: usize, action: MembershipAction) {
         match action {
             MembershipAction::Changed => {}
-            MembershipAction::Heard(rumor) => self.hosts[from].rumors.push(rumor),
+            MembershipAction::NewRumor(rumor) => self.hosts[from].rumors.push(rumor),
             MembershipAction::Send { to, datagram } => self.send(from, to, &datagram),
         }
     }
@@ -281,9 +283,9 @@
             return;
         }
         let same = self.dc(from) == self.dc(to);
-        let delay = if same { NEAR_DELAY } else { FAR_DELAY };
+        let delay = if same { LOCAL_DELAY } else { REMOTE_DELAY };
         self.sent_count += 1;
-        self.flights.push(Reverse(Flight {
+        self.in_flight.push(Reverse(InFlight {
             due: self.now + delay,
             number: self.sent_count,
             from,
--- a/crates/godwitspool-process/src/membership/table.rs
+++ b/crates/godwitspool-process/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The hosts that are known.
+//! The table of known hosts.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,22 @@
 
 use super::{Health, MemberRecord, MembershipRules};
 
-/// Hosts of another data centre that are kept, beside its relays.
-const SPARE_CONTACTS: usize = 2;
+/// Hosts of another data centre that are kept in addition to its relays.
+const SPARE_REMOTE_HOSTS: usize = 2;
 
-/// The hosts that are known, the own one aside.
+/// All known hosts except the local one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Table {
     dc: Dc,
-    /// Of the hosts that are not gone.
+    /// Digest of the hosts that are not down.
     digest: u64,
     hosts: BTreeMap<HostName, Known>,
 }
 
-/// A host that is known.
 #[derive(Clone, Debug)]
 pub(super) struct Known {
     pub record: MemberRecord,
-    /// When the record's health came to hold here.
+    /// When the record or its health last changed here, shifted by pauses of this process.
     pub since: Millis,
 }
 
@@ -35,7 +34,7 @@
         }
     }
 
-    /// Takes a record and tells whether it is news.
+    /// Stores a record if it replaces the known one, and returns whether it did.
     pub fn merge(&mut self, record: &MemberRecord, now: Millis) -> bool {
         let known = self.hosts.get(&record.host);
         if known.is_some_and(|known| !record.replaces(&known.record)) {
@@ -50,11 +49,13 @@
         true
     }
 
-    /// Drops the records of another data centre that stand behind its first few.
-    pub fn bound_contacts(&mut self, dc: &Dc, relays: usize) {
-        let mut contacts: Vec<_> = self.of(dc).map(|known| known.record.clone()).collect();
-        contacts.sort_by_key(|record| (record.health == Health::Down, rank(&record.host)));
-        for record in contacts.iter().skip(relays + SPARE_CONTACTS) {
+    /// Limits the records of another data centre to its relays and a few spare hosts.
+    ///
+    /// Hosts that are down are dropped first, then those with the highest ranks.
+    pub fn limit_remote(&mut self, dc: &Dc, relays: usize) {
+        let mut records: Vec<_> = self.in_dc(dc).map(|known| known.record.clone()).collect();
+        records.sort_by_key(|record| (record.health == Health::Down, rank(&record.host)));
+        for record in records.iter().skip(relays + SPARE_REMOTE_HOSTS) {
             self.hosts.remove(&record.host);
             self.digest ^= hash(record);
         }
@@ -69,64 +70,66 @@
     }
 
     /// Returns the hosts of a data centre.
-    pub fn of<'a>(&'a self, dc: &'a Dc) -> impl Iterator<Item = &'a Known> {
+    pub fn in_dc<'a>(&'a self, dc: &'a Dc) -> impl Iterator<Item = &'a Known> {
         self.all().filter(move |known| known.record.dc == *dc)
     }
 
-    /// Returns the hosts of the own data centre that are not gone.
-    pub fn near(&self) -> impl Iterator<Item = &MemberRecord> {
-        let near = self.of(&self.dc).map(|known| &known.record);
-        near.filter(|record| record.health != Health::Down)
+    /// Returns the hosts of the local data centre that are not down.
+    pub fn local(&self) -> impl Iterator<Item = &MemberRecord> {
+        let local = self.in_dc(&self.dc).map(|known| &known.record);
+        local.filter(|record| record.health != Health::Down)
     }
 
-    /// Returns the hosts of other data centres that are not gone.
-    pub fn far(&self) -> impl Iterator<Item = &MemberRecord> {
-        let far = self.all().map(|known| &known.record);
-        far.filter(|record| record.dc != self.dc && record.health != Health::Down)
+    /// Returns the hosts of other data centres that are not down.
+    pub fn remote(&self) -> impl Iterator<Item = &MemberRecord> {
+        let remote = self.all().map(|known| &known.record);
+        remote.filter(|record| record.dc != self.dc && record.health != Health::Down)
     }
 
-    /// Returns the other data centres of which a host is known.
-    pub fn far_dcs(&self) -> Vec<Dc> {
-        let mut dcs: Vec<_> = self.far().map(|record| record.dc.clone()).collect();
+    /// Returns the other data centres with at least one known host that is not down.
+    pub fn remote_dcs(&self) -> Vec<Dc> {
+        let mut dcs: Vec<_> = self.remote().map(|record| record.dc.clone()).collect();
         dcs.sort();
         dcs.dedup();
         dcs
     }
 
-    /// Turns hosts that were suspected for too long into hosts that are gone.
+    /// Marks local hosts as down whose suspicion timed out, and returns them. Also forgets hosts
+    /// that have been down for the retention time.
     pub fn expire(&mut self, rules: &MembershipRules, now: Millis) -> Vec<MemberRecord> {
-        let patience = rules.suspicion(self.near().count() + 1);
+        let timeout = rules.suspicion_timeout(self.local().count() + 1);
         let dc = &self.dc;
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
         for known in self.hosts.values_mut() {
             let suspect = known.record.health == Health::Suspect && known.record.dc == *dc;
-            if suspect && now - known.since >= patience {
+            if suspect && now - known.since >= timeout {
                 self.digest ^= hash(&known.record);
                 known.record.health = Health::Down;
                 known.since = now;
-                gone.push(known.record.clone());
+                expired.push(known.record.clone());
             }
         }
         self.hosts.retain(|_, known| {
-            known.record.health != Health::Down || now - known.since < rules.remember
+            known.record.health != Health::Down || now - known.since < rules.down_retention
         });
-        gone
+        expired
     }
 
-    /// Puts suspicions off by a time in which this process did not run.
-    pub fn put_off(&mut self, pause: Millis) {
+    /// Extends all suspicions and retention times by a pause in which this process did not run.
+    pub fn extend_suspicions(&mut self, pause: Millis) {
         for known in self.hosts.values_mut() {
             known.since = known.since + pause;
         }
     }
 
-    /// Returns a digest of the hosts that are not gone, the own record included.
+    /// Returns a digest of the hosts that are not down, including the local host's own record.
     pub fn digest(&self, own: &MemberRecord) -> u64 {
         self.digest ^ hash(own)
     }
 }
 
-/// Nothing for a host that is gone, since others may have forgotten it.
+/// Returns a record's part of the digest: 0 for a host that is down, since other hosts may have
+/// forgotten it.
 fn hash(record: &MemberRecord) -> u64 {
     if record.health == Health::Down {
         return 0;
@@ -137,7 +140,7 @@
     rapidhash_v3(&bytes)
 }
 
-/// Returns the place of a host in the order by which relays are taken.
+/// Returns the rank of a host; the hosts with the lowest ranks are relays.
 pub(super) fn rank(host: &HostName) -> u64 {
     rapidhash_v3(host.as_str().as_bytes())
 }
--- a/crates/godwitspool-process/tests/gossip.rs
+++ b/crates/godwitspool-process/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership over real sockets.
+//! Membership over real UDP sockets.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,7 +16,7 @@
 };
 use godwitspool_types::{Incarnation, Offset};
 
-const GENEROUS: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Host {
     address: SocketAddr,
@@ -62,7 +62,7 @@
     for host in &hosts {
         host.gossip.set_host_list(listed.clone());
     }
-    wait_until("all see all", || sees(&hosts, hosts.len()));
+    wait_until("all hosts see each other", || sees(&hosts, hosts.len()));
     hosts
 }
 
@@ -75,50 +75,53 @@
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < GENEROUS, "waited in vain for: {what}");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn hosts_find_each_other_and_miss_one_that_dies() {
+fn hosts_find_each_other_and_detect_a_crash() {
     let mut hosts = start_all(4);
     drop(hosts.pop());
-    wait_until("the others miss it", || sees(&hosts, 3));
+    wait_until("the others see it as down", || sees(&hosts, 3));
 }
 
 #[test]
-fn a_host_that_stops_says_so() {
+fn a_host_that_stops_is_down_without_suspicion() {
     let mut hosts = start_all(3);
     hosts.pop().unwrap().gossip.stop();
-    wait_until("the others know", || sees(&hosts, 2));
-    let suspected = hosts
+    wait_until("the others see it as down", || sees(&hosts, 2));
+    let detected = hosts
         .iter()
         .map(|host| host.gossip.counts().membership.downs);
-    assert_eq!(suspected.sum::<u64>(), 0, "nobody had to find out");
+    assert_eq!(detected.sum::<u64>(), 0, "no host detected it by probing");
 }
 
 #[test]
 fn leaving_rumors_and_hints_reach_the_others() {
     let hosts = start_all(3);
     hosts[0].gossip.leave();
-    hosts[0].gossip.tell(RumorBody::Quarantined(7));
-    hosts[0].gossip.know(Hints {
+    hosts[0].gossip.spread_rumor(RumorBody::Quarantined(7));
+    hosts[0].gossip.raise_hints(Hints {
         end: Offset(9),
         ..Hints::default()
     });
     for host in &hosts[1..] {
-        wait_until("leaving", || {
+        wait_until("the host is leaving", || {
             host.gossip.members().iter().any(|member| member.leaving)
         });
-        wait_until("hints", || host.gossip.hints().end == Offset(9));
-        let heard = |event| event == GossipEvent::Heard(RumorBody::Quarantined(7));
-        while !heard(host.events.recv_timeout(GENEROUS).unwrap()) {}
+        wait_until("the hints arrive", || host.gossip.hints().end == Offset(9));
+        let is_rumor = |event| event == GossipEvent::NewRumor(RumorBody::Quarantined(7));
+        while !is_rumor(host.events.recv_timeout(TEST_TIMEOUT).unwrap()) {}
     }
 }
 
 #[test]
-fn damaged_datagrams_are_counted_and_nothing_else() {
+fn damaged_datagrams_are_only_counted() {
     let hosts = start_all(2);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut sent = 0;
@@ -126,7 +129,7 @@
         socket.send_to(&vec![0xa5; size], hosts[0].address).unwrap();
         sent += 1;
     }
-    wait_until("all are counted", || {
+    wait_until("all damaged datagrams are counted", || {
         hosts[0].gossip.counts().damaged == sent
     });
     assert!(sees(&hosts, 2));
--- a/crates/godwitspool-process/tests/membership.rs
+++ b/crates/godwitspool-process/tests/membership.rs
@@ -32,8 +32,6 @@
         .sum()
 }
 
-// --- One data centre
-
 #[rstest]
 #[case(2)]
 #[case(11)]
@@ -47,13 +45,13 @@
 #[case(2)]
 #[case(11)]
 #[case(60)]
-fn a_killed_host_is_gone_within_seconds(#[case] hosts: usize) {
+fn a_killed_host_is_down_within_seconds(#[case] hosts: usize) {
     let mut net = dc_of(hosts, 2);
     net.hosts[0].is_running = false;
     let took = net.run_until(MINUTE, |net| net.all_see(hosts - 1)).unwrap();
     assert!(
-        took > net.rules.suspicion(hosts),
-        "{took}: no time to speak up"
+        took > net.rules.suspicion_timeout(hosts),
+        "down after {took}, before the suspicion timeout"
     );
     assert!(took < Millis(6_000), "{took}");
 }
@@ -82,7 +80,7 @@
 }
 
 #[test]
-fn the_second_path_may_lead_through_another_data_centre() {
+fn indirect_probes_may_pass_through_another_data_centre() {
     let mut net = Net::new(5);
     net.add_hosts("gori", 2);
     net.add_hosts("rustavi", 1);
@@ -94,7 +92,7 @@
 }
 
 #[test]
-fn a_host_that_can_send_but_not_receive_is_gone_and_comes_back() {
+fn a_host_that_can_send_but_not_receive_is_down_and_rejoins() {
     let mut net = dc_of(5, 6);
     let cuts: Vec<_> = (1..5).map(|other| (other, 0)).collect();
     net.cuts.extend(&cuts);
@@ -109,7 +107,7 @@
 }
 
 #[test]
-fn a_paused_host_blames_nobody_when_it_wakes() {
+fn a_paused_host_suspects_nobody_when_it_resumes() {
     let mut net = dc_of(5, 7);
     net.hosts[0].is_running = false;
     net.run_for(Millis(900));
@@ -121,7 +119,7 @@
 }
 
 #[test]
-fn a_host_wakes_after_it_was_found_gone_and_comes_back() {
+fn a_host_that_resumes_after_it_was_marked_down_rejoins() {
     let mut net = dc_of(5, 8);
     net.hosts[0].is_running = false;
     assert!(net.run_until(MINUTE, |net| net.all_see(4)).is_some());
@@ -131,14 +129,14 @@
 }
 
 #[test]
-fn a_restart_is_told_from_the_old_life() {
+fn a_late_datagram_of_the_old_incarnation_has_no_effect() {
     let mut net = dc_of(5, 9);
     let old = net.hosts[0].membership.own().clone();
     net.restart(0);
     let new = net.hosts[0].membership.own().clone();
     assert!(new.life > old.life);
     net.run_for(Millis(2_000));
-    // What the old life said last comes late and has no effect.
+    // The old incarnation's last datagram arrives after the restart.
     let late = Datagram {
         message: Message::News,
         sender: MemberRecord {
@@ -156,7 +154,7 @@
         from: old.steward,
         datagram: Box::new(late),
     };
-    net.tell(1, event);
+    net.apply(1, event);
     net.run_for(Millis(2_000));
     let members = net.hosts[1].membership.members(net.now);
     assert!(members.iter().all(|member| !member.leaving));
@@ -164,7 +162,7 @@
 }
 
 #[test]
-fn a_new_life_with_an_earlier_clock_takes_over() {
+fn a_new_incarnation_with_an_earlier_clock_takes_over() {
     let mut net = dc_of(3, 10);
     net.run_for(Millis(5_000));
     let own = net.hosts[0]
@@ -174,11 +172,11 @@
         .with_life(godwitspool_types::Incarnation(1));
     net.hosts[0].membership =
         godwitspool_process::membership::Membership::new(own, net.rules, net.now);
-    net.list_all();
+    net.send_host_list();
     net.run_for(Millis(3_000));
     assert!(net.hosts[0].membership.counts().twins > 0);
     assert!(net.all_see(3));
-    net.tell(0, MembershipEvent::Leave);
+    net.apply(0, MembershipEvent::Leave);
     net.run_for(Millis(2_000));
     let members = net.hosts[1].membership.members(net.now);
     assert!(members.iter().any(|member| member.leaving), "{members:?}");
@@ -192,7 +190,7 @@
     let new = own.with_host("tbilisi-new", "tbilisi");
     net.hosts[0].membership =
         godwitspool_process::membership::Membership::new(new, net.rules, net.now);
-    net.list_all();
+    net.send_host_list();
     let replaced = |net: &Net| {
         net.hosts.iter().all(|host| {
             let members = host.membership.members(net.now);
@@ -203,9 +201,9 @@
 }
 
 #[test]
-fn leaving_is_known_at_once_and_gone_without_suspicion() {
+fn leaving_and_stopping_spread_at_once_without_suspicion() {
     let mut net = dc_of(11, 11);
-    net.tell(0, MembershipEvent::Leave);
+    net.apply(0, MembershipEvent::Leave);
     let name = net.name(0);
     let leaving = |net: &Net| {
         net.hosts.iter().all(|host| {
@@ -217,7 +215,7 @@
     };
     let took = net.run_until(MINUTE, leaving).unwrap();
     assert!(took < Millis(2_000), "{took}");
-    net.tell(0, MembershipEvent::Gone);
+    net.apply(0, MembershipEvent::Stop);
     net.hosts[0].is_running = false;
     let took = net.run_until(MINUTE, |net| net.all_see(10)).unwrap();
     assert!(took < Millis(2_000), "{took}");
@@ -225,7 +223,7 @@
 }
 
 #[test]
-fn the_platforms_word_that_a_host_leaves_is_taken_too() {
+fn a_host_that_the_host_list_marks_as_leaving_is_leaving() {
     let mut net = dc_of(2, 12);
     let mut listed = Vec::new();
     for host in &net.hosts {
@@ -239,13 +237,11 @@
             steward_port: own.steward.port(),
         });
     }
-    net.tell(0, MembershipEvent::Listed(listed));
+    net.apply(0, MembershipEvent::HostList(listed));
     let members = net.hosts[0].membership.members(net.now);
     assert!(members.iter().all(|member| member.leaving));
 }
 
-// --- Several data centres
-
 fn three_dcs(seed: u64) -> Net {
     let mut net = Net::new(seed);
     net.add_hosts("nyarugenge", 4);
@@ -256,7 +252,7 @@
 }
 
 #[test]
-fn a_host_that_is_gone_is_gone_in_other_data_centres_too() {
+fn a_host_that_is_down_is_down_in_other_data_centres_too() {
     let mut net = three_dcs(20);
     net.hosts[0].is_running = false;
     let took = net.run_until(MINUTE, |net| net.all_see(10)).unwrap();
@@ -264,7 +260,7 @@
 }
 
 #[test]
-fn data_centres_that_are_cut_off_go_on_and_join_again() {
+fn data_centres_that_are_cut_off_keep_their_members_and_rejoin() {
     let mut net = three_dcs(21);
     let sides = [(0..8).collect::<Vec<_>>(), (8..11).collect::<Vec<_>>()];
     for one in &sides[0] {
@@ -281,7 +277,7 @@
     assert_eq!(
         downs(&net),
         0,
-        "nobody is gone, two sides don't hear each other"
+        "a partition between data centres marks no host as down"
     );
     assert_eq!(net.hosts[0].membership.cut_off().len(), 1);
     net.run_for(Millis(600_000));
@@ -310,7 +306,7 @@
 }
 
 #[test]
-fn both_halves_of_a_data_centre_join_again() {
+fn both_halves_of_a_data_centre_rejoin() {
     let mut net = dc_of(8, 23);
     for one in 0..4 {
         for other in 4..8 {
@@ -324,14 +320,12 @@
     assert!(took < Millis(10_000), "{took}");
 }
 
-// --- What spreads besides
-
 #[test]
 fn rumors_reach_every_host_once() {
     let mut net = three_dcs(30);
     net.loss = 0.05;
     let rumor = RumorBody::LeavingTarget("engine-3".into());
-    net.tell(0, MembershipEvent::Tell(rumor.clone()));
+    net.apply(0, MembershipEvent::SpreadRumor(rumor.clone()));
     let heard = |net: &Net| net.hosts[1..].iter().all(|host| !host.rumors.is_empty());
     let took = net.run_until(MINUTE, heard).unwrap();
     assert!(took < Millis(5_000), "{took}");
@@ -349,8 +343,8 @@
         folded: Offset(end),
         withdrawal: Offset(end),
     };
-    net.tell(3, MembershipEvent::Know(hints(70)));
-    net.tell(9, MembershipEvent::Know(hints(90)));
+    net.apply(3, MembershipEvent::RaiseHints(hints(70)));
+    net.apply(9, MembershipEvent::RaiseHints(hints(90)));
     let known = |net: &Net| {
         net.hosts
             .iter()
@@ -361,7 +355,7 @@
 }
 
 #[test]
-fn bytes_stay_in_their_bound_with_many_data_centres() {
+fn traffic_stays_bounded_with_many_data_centres() {
     let mut net = Net::new(40);
     net.add_hosts("tbilisi", 40);
     for dc in 1..29 {
@@ -376,8 +370,6 @@
     }
 }
 
-// --- Datagrams
-
 fn datagram() -> Datagram {
     let sender = MemberRecord::default().with_host("gori-1", "gori");
     Datagram {
@@ -401,7 +393,7 @@
     }
 
     #[test]
-    fn a_cut_datagram_is_an_error(at in 0usize..60) {
+    fn a_truncated_datagram_is_an_error(at in 0usize..60) {
         let bytes = datagram().encode().unwrap();
         prop_assert!(Datagram::decode(&bytes[..at % bytes.len()]).is_err());
     }
@@ -413,7 +405,7 @@
 }
 
 #[test]
-fn a_datagram_comes_back_as_it_was() {
+fn encoding_and_decoding_preserves_a_datagram() {
     let datagram = datagram();
     assert_eq!(
         Datagram::decode(&datagram.encode().unwrap()).unwrap(),
