--- a/crates/godwitspool-process/src/log_reader.rs
+++ b/crates/godwitspool-process/src/log_reader.rs
@@ -1,12 +1,12 @@
-//! The log reader: follows the platform's log into a [`Replica`] of what is in force.
+//! The log reader: replicates the platform's log into a [`Replica`] on this host.
 //!
-//! Two hosts of each data centre read the platform's log; the others are told by them, so that the
-//! platform's reads don't grow with the number of hosts. When a source fails the next is asked: the
-//! other reader, the platform itself, or a host of another data centre. An empty host starts from a
-//! peer's snapshot, or from the log's; until it has caught up with what any peer is known to have in
-//! force it is not ready.
+//! Two hosts of each data centre, its readers, read the platform's log. The other hosts read from
+//! them, so that the load on the platform doesn't grow with the number of hosts. When a source
+//! fails, the host tries the next one: the other reader, the platform, or a host of another data
+//! centre. A new host starts from a peer's snapshot, or from a snapshot in the log. It is not ready
+//! until it has caught up with the highest offset that any peer is known to have applied.
 //!
-//! [`ReadPlan::decide`] is pure; [`LogReader`] carries its asks out.
+//! [`ReadPlan`] does no I/O; [`LogReader`] performs its requests.
 
 mod catch_up;
 mod plan;
@@ -15,6 +15,6 @@
 mod thread;
 
 pub use catch_up::{CatchUpError, catch_up};
-pub use plan::{Ask, ReadEvent, ReadPlan, ReadRules, ReadState, Source};
+pub use plan::{ReadEvent, ReadPlan, ReadRequest, ReadRules, ReadState, Source};
 pub use replica::{Applied, Replica, ReplicaCounts};
 pub use thread::{LogEvent, LogReader, LogReaderOptions};
--- a/crates/godwitspool-process/src/log_reader/catch_up.rs
+++ b/crates/godwitspool-process/src/log_reader/catch_up.rs
@@ -1,4 +1,4 @@
-//! Reads what is in force once, for programs that don't follow the log.
+//! Reads the state of the log once, for programs that don't follow it.
 
 use std::net::SocketAddr;
 
@@ -10,18 +10,20 @@
     source::{Answer, Sources},
 };
 
-/// Why what is in force can't be read.
+/// Why the state of the log can't be read.
 #[derive(Debug, Snafu)]
-#[snafu(display("what is in force can't be read: {reason}"))]
+#[snafu(display("the log's state can't be read: {reason}"))]
 pub struct CatchUpError {
     reason: String,
 }
 
-/// Reads what is in force from a steward, or else from the platform's log.
+/// Reads the state up to the end of the log, from a steward if one is given, otherwise from the
+/// platform's log.
 ///
 /// # Errors
 ///
-/// When the source fails, or the log has a gap and no snapshot.
+/// Fails if the source fails, or if records are missing and the source has no snapshot that
+/// covers them.
 pub fn catch_up(
     platform: impl PlatformApi,
     steward: Option<SocketAddr>,
@@ -51,6 +53,6 @@
 }
 
 fn missing<T>() -> Result<T, CatchUpError> {
-    let reason = "records are missing and no snapshot stands for them";
+    let reason = "records are missing and no snapshot covers them";
     CatchUpSnafu { reason }.fail()
 }
--- a/crates/godwitspool-process/src/log_reader/plan.rs
+++ b/crates/godwitspool-process/src/log_reader/plan.rs
@@ -1,4 +1,4 @@
-//! Which source to ask next, and when the host is ready.
+//! Decides which source to read from next, and when the host is ready.
 
 use std::net::SocketAddr;
 
@@ -9,37 +9,40 @@
 
 use crate::membership::Hints;
 
-/// Times of the log reader.
+/// Timing and limits of the log reader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReadRules {
     /// Time between a reader's reads of the platform's log.
-    pub poll: Millis,
-    /// Hosts of a data centre that read the platform's log.
+    pub poll_interval: Millis,
+    /// Number of hosts in a data centre that read the platform's log.
     pub readers: usize,
-    /// Time for which a source may lag behind what others are known to have.
-    pub lag: Millis,
-    /// Time from the start in which peers are heard, before their word makes the host ready.
-    pub settle: Millis,
-    /// Shortest wait after a failure; it doubles with each further one.
-    pub retry: Millis,
-    /// Time for which the platform is asked last after it failed.
-    pub shun: Millis,
+    /// Time for which a peer may stay behind the known end of the log before the next source is
+    /// tried.
+    pub max_lag: Millis,
+    /// Time after the start before a peer's answer can make the host ready. Until then the host
+    /// may not have learned from gossip how far other hosts are.
+    pub settle_time: Millis,
+    /// Backoff after the first failure; it doubles with each further one. Also the delay of the
+    /// next read when the known end of the log has not been reached.
+    pub min_backoff: Millis,
+    /// Time for which the platform is the last choice after it failed.
+    pub platform_backoff: Millis,
 }
 
 impl Default for ReadRules {
     fn default() -> Self {
         Self {
-            poll: Millis(250),
+            poll_interval: Millis(250),
             readers: 2,
-            lag: Millis(1_000),
-            settle: Millis(1_500),
-            retry: Millis(50),
-            shun: Millis(1_500),
+            max_lag: Millis(1_000),
+            settle_time: Millis(1_500),
+            min_backoff: Millis(50),
+            platform_backoff: Millis(1_500),
         }
     }
 }
 
-/// Where records come from.
+/// A source of records.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Source {
     /// Another host's steward.
@@ -48,17 +51,17 @@
     Platform,
 }
 
-/// What to ask next.
+/// A request to a source.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Ask {
-    /// The records that follow those in force.
+pub enum ReadRequest {
+    /// Read the records that follow those applied.
     Records(Source),
-    /// A snapshot, and the records behind it.
+    /// Read a snapshot; the records after it are read next.
     Snapshot(Source),
 }
 
-impl Ask {
-    /// Returns who is asked.
+impl ReadRequest {
+    /// Returns the source that the request goes to.
     pub fn source(&self) -> &Source {
         match self {
             Self::Records(source) | Self::Snapshot(source) => source,
@@ -66,140 +69,140 @@
     }
 }
 
-/// What happens to the plan.
+/// An input to [`ReadPlan::decide`].
 #[derive(Clone, Debug)]
 pub enum ReadEvent {
-    /// A source answered.
-    Came {
-        /// Offset up to which records are in force now.
+    /// A source answered and its records or snapshot were applied.
+    Progress {
+        /// Offset up to which records are applied, exclusive.
         next: Offset,
-        /// End of the log as the source knows it.
+        /// End of the log as known to the source, exclusive.
         end: Offset,
     },
-    /// A source failed, or isn't ready itself.
+    /// The source failed or is not ready itself.
     Failed,
-    /// A source no longer has the records that follow those in force.
+    /// The source no longer retains the records that follow those applied.
     Gap,
-    /// What membership knows.
-    Known {
-        /// Live and leaving hosts.
+    /// The current state of membership.
+    Peers {
+        /// Hosts that are not down.
         members: Vec<Member>,
-        /// Highest positions known.
+        /// Highest positions in the log that any host has reported.
         hints: Hints,
     },
 }
 
-/// Whether the host has what is in force.
+/// Whether the host has ever caught up with the log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum ReadState {
-    /// It has found neither the platform's log nor a peer that has it.
+    /// The host has not caught up with the platform's log or a peer yet.
     #[default]
     NotReady,
-    /// It has caught up at least once.
+    /// The host has caught up at least once.
     Ready,
 }
 
-/// What a host knows about its sources.
+/// The state machine that chooses a host's sources.
 #[derive(Clone, Debug)]
 pub struct ReadPlan {
     behind_since: Option<Millis>,
     dc: Dc,
     due: Millis,
-    empty: bool,
+    needs_snapshot: bool,
     failures: u32,
     hints: Hints,
     host: HostName,
-    last: Option<Ask>,
+    last_request: Option<ReadRequest>,
     members: Vec<Member>,
     next: Offset,
     rules: ReadRules,
-    shunned_until: Millis,
+    platform_backoff_until: Millis,
     started: Millis,
     state: ReadState,
-    turn: usize,
+    source_index: usize,
 }
 
 impl ReadPlan {
-    /// Makes the plan of a host that has nothing.
+    /// Creates the plan of a host that has no records or snapshot yet.
     pub fn new(host: HostName, dc: Dc, rules: ReadRules, now: Millis) -> Self {
         Self {
             behind_since: None,
             dc,
             due: now,
-            empty: true,
+            needs_snapshot: true,
             failures: 0,
             hints: Hints::default(),
             host,
-            last: None,
+            last_request: None,
             members: Vec::new(),
             next: Offset::default(),
             rules,
-            shunned_until: now,
+            platform_backoff_until: now,
             started: now,
             state: ReadState::NotReady,
-            turn: 0,
+            source_index: 0,
         }
     }
 
-    /// Tells whether the host has caught up.
+    /// Returns whether the host has ever caught up.
     pub fn state(&self) -> ReadState {
         self.state
     }
 
-    /// Tells whether the host is one of its data centre's readers of the platform's log.
+    /// Returns whether the host is one of its data centre's readers of the platform's log.
     pub fn is_reader(&self) -> bool {
         let own = rank(&self.host);
-        let near = self.near().filter(|member| !member.leaving);
-        near.filter(|member| rank(&member.host) < own).count() < self.rules.readers
+        let staying = self.local().filter(|member| !member.leaving);
+        staying.filter(|member| rank(&member.host) < own).count() < self.rules.readers
     }
 
-    /// Returns when the next ask is due.
+    /// Returns when the next request is due.
     pub fn due(&self) -> Millis {
         self.due
     }
 
-    /// Returns the next ask once it is due.
-    pub fn ask(&mut self, now: Millis, rng: &mut impl Rng) -> Option<Ask> {
+    /// Returns the next request, or `None` if it is not due yet.
+    pub fn next_request(&mut self, now: Millis, rng: &mut impl Rng) -> Option<ReadRequest> {
         if now < self.due {
             return None;
         }
         let sources = self.sources(now, rng);
-        let source = sources[self.turn % sources.len()].clone();
-        let ask = if self.empty {
-            Ask::Snapshot(source)
+        let source = sources[self.source_index % sources.len()].clone();
+        let request = if self.needs_snapshot {
+            ReadRequest::Snapshot(source)
         } else {
-            Ask::Records(source)
+            ReadRequest::Records(source)
         };
-        self.last = Some(ask.clone());
-        Some(ask)
+        self.last_request = Some(request.clone());
+        Some(request)
     }
 
-    /// Takes note of what happened.
+    /// Applies an event to the plan.
     pub fn decide(&mut self, event: ReadEvent, now: Millis, rng: &mut impl Rng) {
         match event {
-            ReadEvent::Came { next, end } => self.came(next, end, now),
-            ReadEvent::Failed => self.failed(now, rng),
+            ReadEvent::Progress { next, end } => self.record_progress(next, end, now),
+            ReadEvent::Failed => self.record_failure(now, rng),
             ReadEvent::Gap => {
-                self.empty = true;
-                self.failed(now, rng);
+                self.needs_snapshot = true;
+                self.record_failure(now, rng);
             }
-            ReadEvent::Known { members, hints } => {
+            ReadEvent::Peers { members, hints } => {
                 self.members = members;
                 self.hints.raise(hints);
-                let news = self.hints.end > self.next || self.hints.folded > self.next;
-                if news && self.failures == 0 && !self.empty {
-                    self.due = self.due.min(now + self.rules.retry);
+                let behind = self.hints.end > self.next || self.hints.folded > self.next;
+                if behind && self.failures == 0 && !self.needs_snapshot {
+                    self.due = self.due.min(now + self.rules.min_backoff);
                 }
             }
         }
     }
 
-    fn came(&mut self, next: Offset, end: Offset, now: Millis) {
-        let platform = self.asked_platform();
-        self.empty = false;
+    fn record_progress(&mut self, next: Offset, end: Offset, now: Millis) {
+        let platform = self.requested_platform();
+        self.needs_snapshot = false;
         self.next = next;
         let known = self.hints.end.max(self.hints.folded).max(end);
-        let settled = now - self.started >= self.rules.settle;
+        let settled = now - self.started >= self.rules.settle_time;
         if next >= end && (platform || settled && next >= self.hints.folded) {
             self.state = ReadState::Ready;
         }
@@ -207,69 +210,68 @@
             self.behind_since = None;
         }
         let since = *self.behind_since.get_or_insert(now);
-        let lags = next < known && next >= end && now - since >= self.rules.lag;
+        let lags = next < known && next >= end && now - since >= self.rules.max_lag;
         self.failures = 0;
-        self.turn = if lags && !platform {
-            // The source has nothing more, but others are known to.
+        self.source_index = if lags && !platform {
+            // The source has no further records, but another host is known to have some.
             self.behind_since = None;
-            self.turn + 1
+            self.source_index + 1
         } else {
             0
         };
         self.due = if next < end {
             now
         } else if platform {
-            now + self.rules.poll
+            now + self.rules.poll_interval
         } else if next < known {
-            now + self.rules.retry
+            now + self.rules.min_backoff
         } else {
             now
         };
     }
 
-    /// Waits longer after each failure, by a random time, so that hosts don't all turn to the same
-    /// source at once.
-    fn failed(&mut self, now: Millis, rng: &mut impl Rng) {
-        const MOST_DOUBLINGS: u32 = 6;
-        let most = self.rules.retry.0 << self.failures.min(MOST_DOUBLINGS);
+    /// Backs off exponentially with jitter, so that hosts don't all move on to the same source at
+    /// the same time.
+    fn record_failure(&mut self, now: Millis, rng: &mut impl Rng) {
+        const MAX_DOUBLINGS: u32 = 6;
+        let max_ms = self.rules.min_backoff.0 << self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        self.due = now + Millis(rng.random_range(most / 2..=most));
-        if self.asked_platform() {
-            self.shunned_until = self.due + self.rules.shun;
-            // The order of the sources has changed.
-            self.turn = 0;
+        self.due = now + Millis(rng.random_range(max_ms / 2..=max_ms));
+        if self.requested_platform() {
+            self.platform_backoff_until = self.due + self.rules.platform_backoff;
+            // The platform moves to the end of the sources, so start again with the first.
+            self.source_index = 0;
         } else {
-            self.turn += 1;
+            self.source_index += 1;
         }
     }
 
-    fn asked_platform(&self) -> bool {
-        self.last.as_ref().map(Ask::source) == Some(&Source::Platform)
+    fn requested_platform(&self) -> bool {
+        self.last_request.as_ref().map(ReadRequest::source) == Some(&Source::Platform)
     }
 
-    // --- Sources
-
-    /// Returns the sources in the order in which they are asked.
+    /// Returns the sources in the order in which they are tried.
     fn sources(&self, now: Millis, rng: &mut impl Rng) -> Vec<Source> {
-        let far = self.pick(false, rng);
-        let near = self.pick(true, rng);
-        let mut sources: Vec<_> = if self.empty {
-            near.into_iter()
+        let remote = self.pick(false, rng);
+        let local = self.pick(true, rng);
+        let mut sources: Vec<_> = if self.needs_snapshot {
+            local
+                .into_iter()
                 .chain([Source::Platform])
-                .chain(far)
+                .chain(remote)
                 .collect()
         } else if self.is_reader() {
             [Source::Platform]
                 .into_iter()
-                .chain(far)
-                .chain(near)
+                .chain(remote)
+                .chain(local)
                 .collect()
         } else {
             let readers = self.readers().map(peer).collect::<Vec<_>>();
-            let rest = [Source::Platform].into_iter().chain(far).chain(near);
+            let rest = [Source::Platform].into_iter().chain(remote).chain(local);
             readers.into_iter().chain(rest).collect()
         };
-        if now < self.shunned_until {
+        if now < self.platform_backoff_until {
             sources.retain(|source| *source != Source::Platform);
             sources.push(Source::Platform);
         }
@@ -277,16 +279,18 @@
         sources
     }
 
-    fn near(&self) -> impl Iterator<Item = &Member> {
+    /// Returns the other members of the local data centre.
+    fn local(&self) -> impl Iterator<Item = &Member> {
         let own = (&self.host, &self.dc);
         self.members
             .iter()
             .filter(move |member| member.host != *own.0 && member.dc == *own.1)
     }
 
-    /// Returns the other hosts that read for the data centre, in an order of this host's own.
+    /// Returns the readers among the other hosts of the local data centre. Half of the hosts get
+    /// them in reverse order, so that the load is spread over the readers.
     fn readers(&self) -> impl Iterator<Item = &Member> {
-        let mut readers: Vec<_> = self.near().filter(|member| !member.leaving).collect();
+        let mut readers: Vec<_> = self.local().filter(|member| !member.leaving).collect();
         readers.sort_by_key(|member| rank(&member.host));
         readers.truncate(self.rules.readers);
         if rank(&self.host) % 2 == 1 {
@@ -295,13 +299,14 @@
         readers.into_iter()
     }
 
-    fn pick(&self, near: bool, rng: &mut impl Rng) -> Option<Source> {
+    /// Picks a random other host, in the local data centre or in another one.
+    fn pick(&self, local: bool, rng: &mut impl Rng) -> Option<Source> {
         let others = self
             .members
             .iter()
             .filter(|member| member.host != self.host);
         let hosts: Vec<_> = others
-            .filter(|member| (member.dc == self.dc) == near)
+            .filter(|member| (member.dc == self.dc) == local)
             .collect();
         let count = hosts.len();
         (count > 0).then(|| peer(hosts[rng.random_range(0..count)]))
@@ -312,6 +317,8 @@
     Source::Peer(member.steward)
 }
 
+/// Returns the rank of a host; the hosts with the lowest ranks are readers. The salt keeps the
+/// order independent of the one by which relays are chosen.
 fn rank(host: &HostName) -> u64 {
     const SALT: &[u8] = b"log reader ";
     rapidhash_v3(&[SALT, host.as_str().as_bytes()].concat())
--- a/crates/godwitspool-process/src/log_reader/replica.rs
+++ b/crates/godwitspool-process/src/log_reader/replica.rs
@@ -1,4 +1,4 @@
-//! What is in force, with the records behind it that other hosts may ask for.
+//! The state of the log on this host, with the latest records for other hosts.
 
 use std::collections::VecDeque;
 
@@ -6,30 +6,31 @@
 use godwitspool_types::{Millis, Offset};
 use godwitspool_version::{Change, Fold, FoldError};
 
-const TAIL_RECORDS: usize = 20_000;
-const ANSWER_RECORDS: usize = 1_000;
+/// Latest records kept for other hosts; a host that is further behind needs a snapshot.
+const MAX_TAIL_RECORDS: usize = 20_000;
+const MAX_ANSWER_RECORDS: usize = 1_000;
 
-/// What a replica has counted.
+/// Counters of a [`Replica`].
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReplicaCounts {
     /// Records applied.
     pub applied: u64,
-    /// Gaps that were noticed.
+    /// Gaps found, either in received records or reported by a source.
     pub gaps: u64,
     /// Snapshots restored.
     pub restored: u64,
 }
 
-/// A change with the offset of its record.
+/// A change made by an applied record.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Applied {
-    /// The change.
+    /// The change; a record may make several.
     pub change: Change,
-    /// Offset of its record.
+    /// Offset of the record.
     pub offset: Offset,
 }
 
-/// What is in force on this host. It only moves forward.
+/// The state in force on this host: the log folded up to an offset that only increases.
 ///
 /// ```
 /// use godwitspool_connection::platform::LogRecord;
@@ -44,7 +45,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
-    confirmed: Option<Millis>,
+    confirmed_at: Option<Millis>,
     counts: ReplicaCounts,
     end: Offset,
     fold: Fold,
@@ -54,11 +55,12 @@
 }
 
 impl Replica {
-    /// Applies records; those that are in force already change nothing.
+    /// Applies records and returns their changes. Records that are already applied are skipped.
     ///
     /// # Errors
     ///
-    /// Fails when records are missing before one of these; what came before the gap is applied.
+    /// Fails at a record that doesn't follow the one before it; the records before the gap are
+    /// applied.
     pub fn apply(&mut self, records: &[LogRecord]) -> Result<Vec<Applied>, FoldError> {
         let mut all = Vec::new();
         for record in records {
@@ -69,7 +71,7 @@
             let applied = self.fold.apply_text(offset, &record.body);
             let changes = applied.inspect_err(|_| self.counts.gaps += 1)?;
             self.counts.applied += 1;
-            self.keep(record);
+            self.push_tail(record);
             for change in changes {
                 if matches!(change, Change::KeyWithdrawn(_) | Change::Published { .. }) {
                     self.withdrawal = offset.next();
@@ -81,7 +83,7 @@
         Ok(all)
     }
 
-    /// Takes a snapshot, if it reaches further than what is in force.
+    /// Replaces the state with a snapshot if the snapshot is newer, and returns whether it was.
     pub fn restore(&mut self, fold: Fold) -> bool {
         if fold.next() <= self.fold.next() && self.fold.next() > Offset(0) {
             return false;
@@ -94,16 +96,16 @@
         true
     }
 
-    /// Notes a gap that a source reported.
-    pub(super) fn note_gap(&mut self) {
+    /// Counts a gap reported by a source.
+    pub(super) fn count_gap(&mut self) {
         self.counts.gaps += 1;
     }
 
-    /// Notes the log's end, as it was at a time.
+    /// Records that the log's end was `end` at the time `at`.
     pub(super) fn confirm(&mut self, end: Offset, at: Millis) {
         self.end = self.end.max(end);
         if self.fold.next() >= end {
-            self.confirmed = Some(self.confirmed.unwrap_or_default().max(at));
+            self.confirmed_at = Some(self.confirmed_at.unwrap_or_default().max(at));
         }
     }
 
@@ -111,37 +113,38 @@
         self.ready = true;
     }
 
-    /// Tells whether the host has caught up at least once.
+    /// Returns whether the host has caught up at least once.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Returns what is in force.
+    /// Returns the folded state.
     pub fn fold(&self) -> &Fold {
         &self.fold
     }
 
-    /// Returns the end of the log as far as it is known.
+    /// Returns the highest known end of the log, exclusive.
     pub fn end(&self) -> Offset {
         self.end
     }
 
-    /// Returns the offset behind the last record that may have withdrawn a key.
+    /// Returns the offset after the last record that may have withdrawn a key. A snapshot counts as
+    /// such a record.
     pub fn withdrawal(&self) -> Offset {
         self.withdrawal
     }
 
-    /// Returns the time since the log's end was last known to be in force.
+    /// Returns the time since the state last included the log's end, or `None` if it never did.
     pub fn age(&self, now: Millis) -> Option<Millis> {
-        self.confirmed.map(|at| now - at)
+        self.confirmed_at.map(|at| now - at)
     }
 
-    /// Returns what was counted.
+    /// Returns the counters.
     pub fn counts(&self) -> ReplicaCounts {
         self.counts
     }
 
-    /// Answers another host that asks for a snapshot.
+    /// Answers another host's request for a snapshot.
     pub fn snapshot_answer(&self) -> StewardAnswer {
         if !self.ready {
             return StewardAnswer::NotReady;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Answers another host that asks for the records from an offset on.
+    /// Answers another host's request for the records from an offset on.
     pub fn tail_answer(&self, from: Offset, now: Millis) -> StewardAnswer {
         if !self.ready {
             return StewardAnswer::NotReady;
@@ -161,7 +164,7 @@
         StewardAnswer::Tail {
             age_ms: self.age(now).unwrap_or(Millis::MAX).0,
             end: self.end,
-            records: records.take(ANSWER_RECORDS).cloned().collect(),
+            records: records.take(MAX_ANSWER_RECORDS).cloned().collect(),
             retained: self.retained(),
         }
     }
@@ -172,8 +175,8 @@
             .map_or(self.fold.next(), |record| record.offset)
     }
 
-    fn keep(&mut self, record: &LogRecord) {
-        if self.tail.len() == TAIL_RECORDS {
+    fn push_tail(&mut self, record: &LogRecord) {
+        if self.tail.len() == MAX_TAIL_RECORDS {
             self.tail.pop_front();
         }
         self.tail.push_back(record.clone());
--- a/crates/godwitspool-process/src/log_reader/source.rs
+++ b/crates/godwitspool-process/src/log_reader/source.rs
@@ -1,4 +1,4 @@
-//! Asks a source and takes what comes into the replica.
+//! Reads records and snapshots from peers and from the platform.
 
 use std::{
     collections::HashMap,
@@ -17,29 +17,27 @@
 
 use super::Source;
 
-const PAGE_RECORDS: usize = 1_000;
+const MAX_PAGE_RECORDS: usize = 1_000;
 const MAX_LINKS: usize = 16;
-/// Longer than a steward waits for news before it answers.
-const PEER_ANSWER: Millis = Millis(2_500);
+/// Longer than a steward waits for new records before it answers.
+const PEER_ANSWER_TIMEOUT: Millis = Millis(2_500);
 
-/// What a source answered.
+/// A source's answer.
 pub(super) enum Answer {
-    /// Nothing.
+    /// The request failed, with the reason.
     Failed(String),
-    /// It no longer has the records that were asked for.
+    /// The source no longer retains the requested records.
     Gap,
-    /// Records.
     Records {
         records: Vec<LogRecord>,
         end: Offset,
-        /// How long ago the end was known to be the log's.
+        /// Time since `end` was known to be the log's end.
         age: Millis,
     },
-    /// A snapshot.
     Snapshot(Box<Fold>),
 }
 
-/// The sources that are asked.
+/// Connections to the peers and the platform.
 pub(super) struct Sources<Platform> {
     links: Mutex<HashMap<SocketAddr, Arc<Link<StewardRequest, StewardAnswer>>>>,
     platform: Platform,
@@ -53,26 +51,27 @@
         }
     }
 
-    /// Asks for the records from an offset on.
+    /// Reads the records from an offset on.
     pub fn records(&self, source: &Source, from: Offset) -> Answer {
         match source {
-            Source::Peer(address) => self.ask_peer(*address, &StewardRequest::Tail(from), from),
-            Source::Platform => match self.platform.read(from, PAGE_RECORDS) {
+            Source::Peer(address) => self.call_peer(*address, &StewardRequest::Tail(from), from),
+            Source::Platform => match self.platform.read(from, MAX_PAGE_RECORDS) {
                 Ok(page) => from_page(page, from),
                 Err(error) => Answer::Failed(error.to_string()),
             },
         }
     }
 
-    /// Asks for a snapshot. A log that still has its first record needs none.
+    /// Reads a snapshot. The platform may answer with records instead, if its log still retains all
+    /// records from `next` on.
     pub fn snapshot(&self, source: &Source, next: Offset) -> Answer {
         match source {
-            Source::Peer(address) => self.ask_peer(*address, &StewardRequest::Snapshot, next),
-            Source::Platform => self.search_log(next),
+            Source::Peer(address) => self.call_peer(*address, &StewardRequest::Snapshot, next),
+            Source::Platform => self.find_snapshot(next),
         }
     }
 
-    fn ask_peer(&self, address: SocketAddr, request: &StewardRequest, from: Offset) -> Answer {
+    fn call_peer(&self, address: SocketAddr, request: &StewardRequest, from: Offset) -> Answer {
         let answer = match self.link(address).call(request) {
             Ok(answer) => answer,
             Err(error) => return Answer::Failed(error.to_string()),
@@ -95,17 +94,17 @@
             },
             StewardAnswer::NotReady => Answer::Failed(format!("{address} is not ready")),
             StewardAnswer::Done | StewardAnswer::Usage(_) | StewardAnswer::View(_) => {
-                Answer::Failed(format!("{address} gave an answer to another question"))
+                Answer::Failed(format!("{address} sent an answer of another kind"))
             }
         }
     }
 
-    /// Searches the log for the first whole snapshot whose following records are still kept.
-    fn search_log(&self, next: Offset) -> Answer {
+    /// Searches the log for the first complete snapshot whose following records are all retained.
+    fn find_snapshot(&self, next: Offset) -> Answer {
         let mut parts = SnapshotParts::default();
         let mut from = next;
         loop {
-            let page = match self.platform.read(from, PAGE_RECORDS) {
+            let page = match self.platform.read(from, MAX_PAGE_RECORDS) {
                 Ok(page) => page,
                 Err(error) => return Answer::Failed(error.to_string()),
             };
@@ -130,7 +129,7 @@
         if links.len() > MAX_LINKS && !links.contains_key(&address) {
             links.clear();
         }
-        let bounds = LinkBounds::default().with_answer(PEER_ANSWER);
+        let bounds = LinkBounds::default().with_answer(PEER_ANSWER_TIMEOUT);
         let link = links
             .entry(address)
             .or_insert_with(|| Arc::new(Link::new(address, bounds)));
--- a/crates/godwitspool-process/src/log_reader/thread.rs
+++ b/crates/godwitspool-process/src/log_reader/thread.rs
@@ -1,4 +1,4 @@
-//! The thread that follows the log.
+//! The thread that performs the requests of a [`ReadPlan`].
 
 use std::{
     fmt, io,
@@ -15,7 +15,7 @@
 use godwitspool_types::{Dc, HostName, Millis, Offset};
 
 use super::{
-    Applied, Ask, ReadEvent, ReadPlan, ReadRules, ReadState, Replica, Source,
+    Applied, ReadEvent, ReadPlan, ReadRequest, ReadRules, ReadState, Replica, Source,
     source::{Answer, Sources},
 };
 use crate::{
@@ -23,32 +23,32 @@
     membership::{Gossip, Hints},
 };
 
-/// Longest sleep between looks at what membership knows.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Longest sleep before the members and hints are read from gossip again.
+const MAX_SLEEP: Duration = Duration::from_millis(25);
 
-/// What the log reader tells its subscriber.
+/// A notification to the subscriber of [`LogReader`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LogEvent {
-    /// Records were applied.
+    /// Records were applied, with these changes in the order of the log.
     Applied(Vec<Applied>),
-    /// The log's end is in force, as of this time.
+    /// The state included the log's end at this time.
     Confirmed(Millis),
-    /// A snapshot was restored; anything may have changed.
+    /// A snapshot was restored; any part of the state may have changed.
     Restored,
 }
 
-/// Who follows the log, and by which times.
+/// Options of a [`LogReader`].
 #[derive(Clone, Debug, Default)]
 pub struct LogReaderOptions {
-    /// Data centre.
+    /// Data centre of the local host.
     pub dc: Dc,
-    /// Host.
+    /// Name of the local host.
     pub host: HostName,
-    /// Times.
+    /// Timing and limits.
     pub rules: ReadRules,
 }
 
-/// Follows the log until it is dropped.
+/// Follows the log in a thread until it is dropped.
 pub struct LogReader {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Fails if the thread can't be started.
     pub fn start<Event>(
         options: LogReaderOptions,
         platform: impl PlatformApi + 'static,
@@ -109,12 +109,13 @@
         })
     }
 
-    /// Looks at what is in force. The log reader waits meanwhile, so look briefly.
-    pub fn read<T>(&self, look: impl FnOnce(&Replica) -> T) -> T {
-        look(&self.shared.replica())
+    /// Calls a function with the replica. The replica is locked meanwhile, so the function should
+    /// return quickly.
+    pub fn read<T>(&self, inspect: impl FnOnce(&Replica) -> T) -> T {
+        inspect(&self.shared.replica())
     }
 
-    /// Shows what was counted among a process's metrics.
+    /// Exports the counters as metrics.
     pub fn register(&self, metrics: &Metrics) {
         let shared = Arc::clone(&self.shared);
         metrics.watch(move || {
@@ -128,13 +129,13 @@
         });
     }
 
-    /// Answers another host that asks for a snapshot.
+    /// Answers another host's request for a snapshot.
     pub fn snapshot(&self) -> StewardAnswer {
         self.read(Replica::snapshot_answer)
     }
 
-    /// Answers another host that asks for the records from an offset on, once there are some or the
-    /// time is up.
+    /// Answers another host's request for the records from an offset on. Blocks until there are
+    /// any, for at most `wait`.
     pub fn tail(&self, from: Offset, wait: Millis) -> StewardAnswer {
         let idle = |replica: &mut Replica| {
             let stopped = self.shared.stopped.load(Ordering::Acquire);
@@ -165,8 +166,6 @@
     }
 }
 
-// ---
-
 struct Follower<Platform, Event> {
     plan: ReadPlan,
     shared: Arc<Shared>,
@@ -177,50 +176,50 @@
 impl<Platform: PlatformApi, Event: From<LogEvent>> Follower<Platform, Event> {
     fn run(&mut self) {
         while !self.shared.stopped.load(Ordering::Acquire) {
-            self.look_around();
+            self.update_peers();
             let now = self.shared.clock.now();
-            match self.plan.ask(now, &mut rand::rng()) {
-                Some(ask) => self.carry_out(&ask),
-                None => thread::sleep((self.plan.due() - now).duration().min(PAUSE)),
+            match self.plan.next_request(now, &mut rand::rng()) {
+                Some(request) => self.perform(&request),
+                None => thread::sleep((self.plan.due() - now).duration().min(MAX_SLEEP)),
             }
         }
     }
 
-    fn look_around(&mut self) {
-        let event = ReadEvent::Known {
+    fn update_peers(&mut self) {
+        let event = ReadEvent::Peers {
             members: self.shared.gossip.members(),
             hints: self.shared.gossip.hints(),
         };
         self.decide(event);
     }
 
-    fn carry_out(&mut self, ask: &Ask) {
+    fn perform(&mut self, request: &ReadRequest) {
         let begun = self.shared.clock.now();
         let next = self.shared.replica().fold().next();
-        let answer = match ask {
-            Ask::Records(source) => self.sources.records(source, next),
-            Ask::Snapshot(source) => self.sources.snapshot(source, next),
+        let answer = match request {
+            ReadRequest::Records(source) => self.sources.records(source, next),
+            ReadRequest::Snapshot(source) => self.sources.snapshot(source, next),
         };
         match answer {
             Answer::Failed(reason) => {
-                log::warn!(source:? = ask.source(); "log not read: {reason}");
+                log::warn!(source:? = request.source(); "reading the log failed: {reason}");
                 self.decide(ReadEvent::Failed);
             }
-            Answer::Gap => self.gap(ask.source()),
+            Answer::Gap => self.handle_gap(request.source()),
             Answer::Records { records, end, age } => {
                 let applied = self.shared.replica().apply(&records);
                 match applied {
-                    Ok(applied) => self.came(applied, end, begun - age),
+                    Ok(applied) => self.handle_applied(applied, end, begun - age),
                     Err(error) => {
-                        log::error!(source:? = ask.source(); "{error}");
+                        log::error!(source:? = request.source(); "{error}");
                         self.decide(ReadEvent::Gap);
                     }
                 }
             }
             Answer::Snapshot(fold) => {
                 if self.shared.replica().restore(*fold) {
-                    self.tell(LogEvent::Restored);
-                    // More may follow the snapshot, so its end says nothing about the log's.
+                    self.notify(LogEvent::Restored);
+                    // Records may follow the snapshot, so the end of the log is not known yet.
                     let end = self.shared.replica().end();
                     self.advance(end.next());
                 } else {
@@ -230,15 +229,15 @@
         }
     }
 
-    fn gap(&mut self, source: &Source) {
-        self.shared.replica().note_gap();
-        log::error!(source:? = source; "records that follow those in force are gone");
+    fn handle_gap(&mut self, source: &Source) {
+        self.shared.replica().count_gap();
+        log::error!(source:? = source; "source no longer retains the records that follow those applied");
         self.decide(ReadEvent::Gap);
     }
 
-    fn came(&mut self, applied: Vec<Applied>, end: Offset, at: Millis) {
+    fn handle_applied(&mut self, applied: Vec<Applied>, end: Offset, at: Millis) {
         if !applied.is_empty() {
-            self.tell(LogEvent::Applied(applied));
+            self.notify(LogEvent::Applied(applied));
         }
         self.shared.replica().confirm(end, at);
         self.advance(end);
@@ -246,11 +245,12 @@
         let confirmed = replica.is_ready() && replica.fold().next() >= end;
         drop(replica);
         if confirmed {
-            self.tell(LogEvent::Confirmed(at));
+            self.notify(LogEvent::Confirmed(at));
         }
     }
 
-    /// Notes how far records are in force, and lets other hosts know.
+    /// Updates the plan, the hints for other hosts and waiting [`LogReader::tail`] calls after the
+    /// replica has advanced.
     fn advance(&mut self, end: Offset) {
         let replica = self.shared.replica();
         let next = replica.fold().next();
@@ -260,7 +260,7 @@
             withdrawal: replica.withdrawal(),
         };
         drop(replica);
-        self.decide(ReadEvent::Came { next, end });
+        self.decide(ReadEvent::Progress { next, end });
         if self.plan.state() == ReadState::Ready {
             self.shared.replica().set_ready();
             self.shared.gossip.raise_hints(hints);
@@ -273,9 +273,9 @@
         self.plan.decide(event, now, &mut rand::rng());
     }
 
-    fn tell(&self, event: LogEvent) {
+    fn notify(&self, event: LogEvent) {
         if self.subscriber.send(event.into()).is_err() {
-            log::debug!("nobody listens to the log reader");
+            log::debug!("log event dropped: the subscriber is gone");
         }
     }
 }
--- a/crates/godwitspool-process/tests/gossip.rs
+++ b/crates/godwitspool-process/tests/gossip.rs
@@ -77,7 +77,7 @@
     while !condition() {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
-            "timed out waiting until {what}"
+            "timed out waiting for: {what}"
         );
         thread::sleep(Duration::from_millis(5));
     }
@@ -111,10 +111,10 @@
         ..Hints::default()
     });
     for host in &hosts[1..] {
-        wait_until("the host is leaving", || {
+        wait_until("leaving", || {
             host.gossip.members().iter().any(|member| member.leaving)
         });
-        wait_until("the hints arrive", || host.gossip.hints().end == Offset(9));
+        wait_until("hints", || host.gossip.hints().end == Offset(9));
         let is_rumor = |event| event == GossipEvent::NewRumor(RumorBody::Quarantined(7));
         while !is_rumor(host.events.recv_timeout(TEST_TIMEOUT).unwrap()) {}
     }
--- a/crates/godwitspool-process/tests/log_reader.rs
+++ b/crates/godwitspool-process/tests/log_reader.rs
@@ -1,4 +1,4 @@
-//! The log reader over real sockets: outages, retention, failed readers and replaced hosts.
+//! The log reader over real sockets: outages, log retention, failed readers and replaced hosts.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -30,9 +30,9 @@
 use godwitspool_types::{Incarnation, Millis, Offset};
 use godwitspool_version::{Change, Fold, Record, RecordBody, snapshot_records};
 
-const GENEROUS: Duration = Duration::from_secs(40);
+const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// The platform behind a gate that a test closes for one host.
+/// The platform as one host reaches it; a test can make its reads fail by closing the gate.
 struct Gated {
     inner: http::Platform,
     open: Arc<AtomicBool>,
@@ -189,12 +189,15 @@
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < GENEROUS, "waited in vain for: {what}");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for: {what}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Waits for a span in which exactly two hosts read the platform, and returns which.
+/// Waits for an interval in which exactly two hosts read the platform, and returns their indexes.
 fn settle_on_two_readers(hosts: &[Host]) -> Vec<usize> {
     let start = Instant::now();
     let reads = || hosts.iter().map(|host| host.reads.load(Ordering::SeqCst));
@@ -207,7 +210,7 @@
         if readers.len() == 2 {
             return readers;
         }
-        assert!(start.elapsed() < GENEROUS, "readers {readers:?}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "readers {readers:?}");
     }
 }
 
@@ -233,14 +236,14 @@
 }
 
 #[test]
-fn changes_are_told_in_order_with_their_offsets() {
+fn subscribers_get_changes_in_order_with_their_offsets() {
     let platform = platform(1_000);
     append(&platform, 1);
     append(&platform, 2);
     let host = Host::start(1, "gori", &platform);
     let mut seen = Vec::new();
     while seen.len() < 2 {
-        if let LogEvent::Applied(applied) = host.events.recv_timeout(GENEROUS).unwrap() {
+        if let LogEvent::Applied(applied) = host.events.recv_timeout(TEST_TIMEOUT).unwrap() {
             seen.extend(
                 applied
                     .into_iter()
@@ -255,8 +258,8 @@
             (Offset(1), Change::Quarantine(2))
         ]
     );
-    let confirmed = |event| matches!(event, LogEvent::Confirmed(_));
-    while !confirmed(host.events.recv_timeout(GENEROUS).unwrap()) {}
+    let is_confirmed = |event| matches!(event, LogEvent::Confirmed(_));
+    while !is_confirmed(host.events.recv_timeout(TEST_TIMEOUT).unwrap()) {}
 }
 
 #[test]
@@ -264,7 +267,9 @@
     let platform = platform(1_000);
     append(&platform, 1);
     let host = Host::start_gated(1, "gori", &platform, false);
-    wait_until("it tried", || host.reads.load(Ordering::SeqCst) > 3);
+    wait_until("reads of the platform", || {
+        host.reads.load(Ordering::SeqCst) > 3
+    });
     assert!(!host.is_ready());
     assert_eq!(host.reader.snapshot(), StewardAnswer::NotReady);
     assert_eq!(
@@ -293,11 +298,11 @@
     assert_eq!(new.next(), Offset(30));
     platform.set_outage(false);
     append(&platform, 99);
-    wait_until("goes on", || new.next() == Offset(31));
+    wait_until("the next record", || new.next() == Offset(31));
 }
 
 #[test]
-fn a_host_that_a_peer_is_ahead_of_is_not_ready_until_it_has_caught_up() {
+fn a_new_host_is_not_ready_until_it_has_caught_up_with_the_peer_ahead() {
     let platform = platform(1_000);
     append(&platform, 1);
     let ahead = Host::start(1, "gori", &platform);
@@ -305,7 +310,7 @@
     introduce(&[&ahead, &behind]);
     wait_until("both ready", || ahead.is_ready() && behind.is_ready());
     behind.gate.store(false, Ordering::SeqCst);
-    // Only `ahead` knows the next records, and it is about to be out of reach.
+    // `behind` can't reach the platform, so only `ahead` reads the next records from it.
     for fingerprint in 2..10 {
         append(&platform, fingerprint);
     }
@@ -317,15 +322,17 @@
 }
 
 #[test]
-fn a_cut_off_data_centre_follows_through_another() {
+fn a_cut_off_data_centre_reads_from_another() {
     let platform = platform(1_000);
     let near = Host::start_gated(1, "gori", &platform, false);
     let far = Host::start(2, "tbilisi", &platform);
     introduce(&[&near, &far]);
     append(&platform, 1);
-    wait_until("follows", || near.is_ready() && near.next() == Offset(1));
+    wait_until("first record", || {
+        near.is_ready() && near.next() == Offset(1)
+    });
     append(&platform, 2);
-    wait_until("follows on", || near.next() == Offset(2));
+    wait_until("second record", || near.next() == Offset(2));
 }
 
 #[test]
@@ -341,13 +348,13 @@
         drop(hosts.remove(at));
     }
     append(&platform, 1);
-    wait_until("follows", || {
+    wait_until("the next record", || {
         hosts.iter().all(|host| host.next() == Offset(1))
     });
 }
 
 #[test]
-fn a_gap_left_by_retention_is_noticed_and_closed_by_a_snapshot() {
+fn a_gap_left_by_retention_is_detected_and_closed_by_a_snapshot() {
     let platform = platform(40);
     append(&platform, 1);
     let host = Host::start(1, "gori", &platform);
@@ -367,7 +374,7 @@
     }
     append(&platform, 60);
     host.gate.store(true, Ordering::SeqCst);
-    wait_until("in force again", || {
+    wait_until("the last record after the gap", || {
         host.reader
             .read(|replica| replica.fold().quarantine().contains_key(&60))
     });
@@ -381,7 +388,7 @@
 }
 
 #[test]
-fn a_gap_without_a_snapshot_keeps_what_is_in_force() {
+fn a_gap_without_a_snapshot_keeps_the_state_in_force() {
     let platform = platform(10);
     append(&platform, 1);
     let host = Host::start(1, "gori", &platform);
@@ -391,13 +398,15 @@
         append(&platform, fingerprint);
     }
     host.gate.store(true, Ordering::SeqCst);
-    wait_until("noticed", || host.reader.read(Replica::counts).gaps > 0);
+    wait_until("the gap to be counted", || {
+        host.reader.read(Replica::counts).gaps > 0
+    });
     assert_eq!(host.next(), Offset(1));
     assert!(host.is_ready());
 }
 
 #[test]
-fn what_is_in_force_never_moves_back() {
+fn the_state_in_force_never_moves_back() {
     let platform = platform(1_000);
     for fingerprint in 0..10 {
         append(&platform, fingerprint);
--- a/crates/godwitspool-process/tests/read_plan.rs
+++ b/crates/godwitspool-process/tests/read_plan.rs
@@ -1,10 +1,10 @@
-//! Which source the log reader asks, in simulated time.
+//! The log reader's choice of sources, in simulated time.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use godwitspool_connection::messages::Member;
 use godwitspool_process::{
-    log_reader::{Ask, ReadEvent, ReadPlan, ReadRules, ReadState, Source},
+    log_reader::{ReadEvent, ReadPlan, ReadRequest, ReadRules, ReadState, Source},
     membership::Hints,
 };
 use godwitspool_types::{Millis, Offset};
@@ -26,7 +26,7 @@
     let own = member(number, "gori");
     let mut plan = ReadPlan::new(own.host, own.dc, ReadRules::default(), Millis(0));
     let members = members.to_vec();
-    let known = ReadEvent::Known {
+    let known = ReadEvent::Peers {
         members,
         hints: Hints::default(),
     };
@@ -42,8 +42,8 @@
     (1..=hosts).map(|number| member(number, "gori")).collect()
 }
 
-fn came(offset: u64) -> ReadEvent {
-    ReadEvent::Came {
+fn progress(offset: u64) -> ReadEvent {
+    ReadEvent::Progress {
         next: Offset(offset),
         end: Offset(offset),
     }
@@ -57,22 +57,25 @@
 }
 
 #[test]
-fn an_empty_host_asks_a_peer_before_the_platform() {
+fn a_new_host_tries_a_peer_before_the_platform() {
     let mut plan = plan_of(1, &gori(3));
-    let first = plan.ask(Millis(0), &mut rng()).unwrap();
-    assert!(matches!(first, Ask::Snapshot(Source::Peer(_))), "{first:?}");
+    let first = plan.next_request(Millis(0), &mut rng()).unwrap();
+    assert!(
+        matches!(first, ReadRequest::Snapshot(Source::Peer(_))),
+        "{first:?}"
+    );
     plan.decide(ReadEvent::Failed, Millis(0), &mut rng());
-    let second = plan.ask(plan.due(), &mut rng()).unwrap();
-    assert_eq!(second, Ask::Snapshot(Source::Platform));
+    let second = plan.next_request(plan.due(), &mut rng()).unwrap();
+    assert_eq!(second, ReadRequest::Snapshot(Source::Platform));
 }
 
 #[test]
-fn failures_wait_longer_and_longer_up_to_a_bound() {
+fn the_backoff_grows_with_each_failure_up_to_a_bound() {
     let mut plan = plan_of(1, &[]);
     let mut now = Millis(0);
     let mut waits = Vec::new();
     for _ in 0..12 {
-        plan.ask(now, &mut rng()).unwrap();
+        plan.next_request(now, &mut rng()).unwrap();
         plan.decide(ReadEvent::Failed, now, &mut rng());
         waits.push(plan.due() - now);
         now = plan.due();
@@ -82,63 +85,63 @@
 }
 
 #[test]
-fn a_peers_word_makes_ready_only_after_others_were_heard() {
+fn a_peers_answer_makes_the_host_ready_only_after_the_settle_time() {
     let mut plan = plan_of(1, &gori(3));
-    let early = plan.ask(Millis(0), &mut rng()).unwrap();
-    assert!(matches!(early, Ask::Snapshot(Source::Peer(_))));
-    plan.decide(came(5), Millis(10), &mut rng());
+    let early = plan.next_request(Millis(0), &mut rng()).unwrap();
+    assert!(matches!(early, ReadRequest::Snapshot(Source::Peer(_))));
+    plan.decide(progress(5), Millis(10), &mut rng());
     assert_eq!(plan.state(), ReadState::NotReady);
     let hints = Hints {
         folded: Offset(7),
         ..Hints::default()
     };
-    let known = ReadEvent::Known {
+    let known = ReadEvent::Peers {
         members: gori(3),
         hints,
     };
     plan.decide(known, Millis(20), &mut rng());
-    plan.decide(came(5), Millis(2_000), &mut rng());
+    plan.decide(progress(5), Millis(2_000), &mut rng());
     assert_eq!(plan.state(), ReadState::NotReady, "a peer is ahead");
-    plan.decide(came(7), Millis(2_010), &mut rng());
+    plan.decide(progress(7), Millis(2_010), &mut rng());
     assert_eq!(plan.state(), ReadState::Ready);
 }
 
 #[test]
-fn a_source_that_lags_behind_what_others_know_is_left() {
+fn a_source_that_lags_behind_other_hosts_is_replaced() {
     let members = gori(11);
     let number = (1..=11)
         .find(|number| !plan_of(*number, &members).is_reader())
         .unwrap();
     let mut plan = plan_of(number, &members);
-    plan.ask(Millis(0), &mut rng()).unwrap();
-    plan.decide(came(5), Millis(2_000), &mut rng());
+    plan.next_request(Millis(0), &mut rng()).unwrap();
+    plan.decide(progress(5), Millis(2_000), &mut rng());
     let hints = Hints {
         end: Offset(9),
         ..Hints::default()
     };
-    let known = ReadEvent::Known { members, hints };
+    let known = ReadEvent::Peers { members, hints };
     plan.decide(known, Millis(2_000), &mut rng());
-    let first = plan.ask(Millis(2_100), &mut rng()).unwrap();
-    plan.decide(came(5), Millis(2_100), &mut rng());
-    let same = plan.ask(Millis(2_200), &mut rng()).unwrap();
+    let first = plan.next_request(Millis(2_100), &mut rng()).unwrap();
+    plan.decide(progress(5), Millis(2_100), &mut rng());
+    let same = plan.next_request(Millis(2_200), &mut rng()).unwrap();
     assert_eq!(first.source(), same.source());
-    plan.decide(came(5), Millis(3_200), &mut rng());
-    let other = plan.ask(Millis(3_300), &mut rng()).unwrap();
+    plan.decide(progress(5), Millis(3_200), &mut rng());
+    let other = plan.next_request(Millis(3_300), &mut rng()).unwrap();
     assert_ne!(first.source(), other.source());
 }
 
 #[test]
-fn a_reader_that_knows_of_news_reads_at_once() {
+fn hints_of_new_records_make_a_reader_read_at_once() {
     let mut plan = plan_of(1, &[]);
-    plan.ask(Millis(0), &mut rng()).unwrap();
-    plan.decide(came(5), Millis(0), &mut rng());
-    assert_eq!(plan.due(), ReadRules::default().poll);
+    plan.next_request(Millis(0), &mut rng()).unwrap();
+    plan.decide(progress(5), Millis(0), &mut rng());
+    assert_eq!(plan.due(), ReadRules::default().poll_interval);
     let hints = Hints {
         withdrawal: Offset(6),
         end: Offset(6),
         folded: Offset(6),
     };
-    let known = ReadEvent::Known {
+    let known = ReadEvent::Peers {
         members: Vec::new(),
         hints,
     };
@@ -147,7 +150,7 @@
 }
 
 proptest! {
-    /// Whatever happens, a host that once was ready stays so, and every ask has a source.
+    /// A host that was ready stays ready after any events, and there is always a next request.
     #[test]
     fn ready_stays_ready(events in proptest::collection::vec((0..4u8, 0..20u64), 1..60), seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -156,15 +159,15 @@
         let mut ready = false;
         for (kind, offset) in events {
             now = plan.due().max(now) + Millis(offset);
-            prop_assert!(plan.ask(now, &mut rng).is_some());
+            prop_assert!(plan.next_request(now, &mut rng).is_some());
             let event = match kind {
                 0 => ReadEvent::Failed,
                 1 => ReadEvent::Gap,
-                2 => ReadEvent::Known {
+                2 => ReadEvent::Peers {
                     members: gori(offset as u8 % 5),
                     hints: Hints { end: Offset(offset), ..Hints::default() },
                 },
-                _ => came(offset),
+                _ => progress(offset),
             };
             plan.decide(event, now, &mut rng);
             prop_assert!(!ready || plan.state() == ReadState::Ready);
