--- a/crates/godwitspool-process/src/clock.rs
+++ b/crates/godwitspool-process/src/clock.rs
@@ -1,10 +1,10 @@
-//! The process's clock.
+//! The monotonic clock of a process.
 
 use std::time::Instant;
 
 use godwitspool_types::Millis;
 
-/// Tells the time since the process's start. Copies agree with each other.
+/// A monotonic clock that counts from its start. All copies of it return the same time.
 ///
 /// ```
 /// use godwitspool_process::Clock;
@@ -18,7 +18,7 @@
 }
 
 impl Clock {
-    /// Makes a clock that begins at zero now.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self {
             origin: Instant::now(),
--- a/crates/godwitspool-process/src/daemon.rs
+++ b/crates/godwitspool-process/src/daemon.rs
@@ -1,4 +1,4 @@
-//! What the daemons' mains share: the command line and termination signals.
+//! The command line and termination signals of daemons.
 
 use std::{
     ffi::OsString,
@@ -17,21 +17,21 @@
     iterator::Signals,
 };
 
-/// What a daemon's command line asks for: `NAME SETTINGS.yaml [--check] [--help] [--version]`.
+/// A daemon's parsed command line: `NAME SETTINGS.yaml [--check] [--help] [--version]`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DaemonCommand {
-    /// Check the settings and end.
+    /// Check the settings file and exit.
     Check(PathBuf),
-    /// Print the help.
+    /// Print the help and exit.
     Help,
-    /// Run with the settings.
+    /// Run with the settings file.
     Run(PathBuf),
-    /// Print the version.
+    /// Print the version and exit.
     Version,
 }
 
 impl DaemonCommand {
-    /// Reads the arguments, the program's name left out.
+    /// Parses the arguments, without the program's name.
     ///
     /// ```
     /// use godwitspool_process::DaemonCommand;
@@ -42,7 +42,7 @@
     /// ```
     ///
     /// # Errors
-    /// An unknown option, a second file, or none.
+    /// Fails on an unknown option, a second file, or if no file is given.
     pub fn parse(
         arguments: impl IntoIterator<Item = impl Into<OsString>>,
     ) -> Result<Self, lexopt::Error> {
@@ -67,17 +67,17 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT: the first asks for a graceful end, the second for the end.
+/// Waits for SIGTERM or SIGINT: the first requests a graceful shutdown, the second an immediate one.
 #[derive(Debug)]
 pub struct Termination {
     signals: Signals,
 }
 
 impl Termination {
-    /// Takes the signals over from their default action.
+    /// Installs handlers that replace the signals' default actions.
     ///
     /// # Errors
-    /// The system refuses the handlers.
+    /// Fails if the handlers can't be installed.
     pub fn watch() -> io::Result<Self> {
         Signals::new([SIGINT, SIGTERM]).map(|signals| Self { signals })
     }
@@ -85,12 +85,12 @@
     /// Blocks until the first signal and returns a flag that the second one sets.
     pub fn wait(mut self) -> Arc<AtomicBool> {
         self.signals.forever().next();
-        let hurry = Arc::new(AtomicBool::new(false));
-        let flag = Arc::clone(&hurry);
+        let immediate = Arc::new(AtomicBool::new(false));
+        let flag = Arc::clone(&immediate);
         thread::spawn(move || {
             self.signals.forever().next();
             flag.store(true, Ordering::Release);
         });
-        hurry
+        immediate
     }
 }
--- a/crates/godwitspool-process/src/findings.rs
+++ b/crates/godwitspool-process/src/findings.rs
@@ -1,35 +1,35 @@
-//! Findings of one run, sorted by place.
+//! A list of findings, sorted by place.
 
 use std::{error::Error, fmt};
 
 use godwitspool_types::Finding;
 
-/// All that is wrong in some input, in the order of its places.
+/// All findings in an input, sorted by place and without duplicates.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Returns the findings.
+    /// Iterates over the findings, sorted by place.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.0.iter()
     }
 
-    /// Returns how many findings there are.
+    /// Returns the number of findings.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Returns whether nothing was found.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the value when nothing was found.
+    /// Returns the value if there are no findings.
     ///
     /// # Errors
     ///
-    /// The findings, when there are any.
-    pub fn or<T>(self, value: T) -> Result<T, Self> {
+    /// Returns the findings if there are any.
+    pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.is_empty() {
             Ok(value)
         } else {
--- a/crates/godwitspool-process/src/folder.rs
+++ b/crates/godwitspool-process/src/folder.rs
@@ -127,7 +127,7 @@
     let draft = read::read(&joined, &names);
     findings.extend(draft.findings);
     findings.extend(check::check(&draft.configuration, &draft.places));
-    Findings::from(findings).or(Folder {
+    Findings::from(findings).into_result(Folder {
         configuration: draft.configuration,
         overrides,
     })
--- a/crates/godwitspool-process/src/http_listener.rs
+++ b/crates/godwitspool-process/src/http_listener.rs
@@ -1,4 +1,4 @@
-//! An HTTP listener that goes on after a failed accept.
+//! An HTTP listener that keeps serving after a failed accept.
 
 use std::{
     fmt, io,
@@ -14,24 +14,27 @@
 use socket2::{SockRef, TcpKeepalive};
 use tiny_http::{Request, Server};
 
-/// Time without a request, after the stop, that ends the listener.
-const LAST_QUIET: Duration = Duration::from_millis(100);
-/// Longest time from the stop to the end of the listener.
-const LAST_BOUND: Duration = Duration::from_secs(1);
-/// Longest time from the stop in which late requests are still given out.
-const LATE_BOUND: Duration = Duration::from_secs(5);
-const REOPEN_PAUSE: Duration = Duration::from_millis(50);
+/// Time without a request after which [`HttpListener::next`] ends once the listener is stopped.
+const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Limit on the time for which [`HttpListener::next`] returns requests after the stop.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Limit on the time for which [`HttpListener::next_after_stop`] returns requests.
+const AFTER_STOP_TIMEOUT: Duration = Duration::from_secs(5);
+const REOPEN_BACKOFF: Duration = Duration::from_millis(50);
+/// The standard library's backlog of 128 makes clients in a burst wait for a second.
 const BACKLOG: i32 = 1_024;
-const SILENCE: Duration = Duration::from_secs(30);
+/// Keepalive time and TCP user timeout, after which an unreachable client's connection is closed.
+const DEAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Receives HTTP requests from a listener.
 ///
-/// The server inside ends for good when an accept fails, for one because descriptors are used up.
-/// This opens a new one on the same listener, so that no caller finds the port closed.
+/// A `tiny_http` server stops for good when an accept fails, for example because the process has
+/// too many open files. The listener then opens a new server on the same socket, so that the port
+/// is never closed to callers.
 pub struct HttpListener {
     address: SocketAddr,
-    /// When the first wait after the stop began.
-    ended: OnceLock<Instant>,
+    /// When the first wait after the stop began; the timeouts after the stop count from here.
+    drain_start: OnceLock<Instant>,
     listener: TcpListener,
     reopened: AtomicU64,
     server: Mutex<Arc<Server>>,
@@ -48,21 +51,20 @@
 }
 
 impl HttpListener {
-    /// Starts to accept connections.
+    /// Starts to accept connections on a bound socket.
     ///
     /// # Errors
     ///
-    /// When the listener can't be served.
+    /// Fails if the socket can't be configured or the server can't be started.
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         let socket = SockRef::from(&listener);
-        // The standard library's backlog of 128 makes callers of a burst wait a second.
         socket.listen(BACKLOG)?;
-        // Accepted sockets inherit both.
-        socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(SILENCE))?;
-        socket.set_tcp_user_timeout(Some(SILENCE))?;
+        // Accepted sockets inherit both options.
+        socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(DEAD_CLIENT_TIMEOUT))?;
+        socket.set_tcp_user_timeout(Some(DEAD_CLIENT_TIMEOUT))?;
         Ok(Self {
             address: listener.local_addr()?,
-            ended: OnceLock::new(),
+            drain_start: OnceLock::new(),
             reopened: AtomicU64::new(0),
             server: Mutex::new(Arc::new(open(&listener)?)),
             stopped: AtomicBool::new(false),
@@ -70,60 +72,65 @@
         })
     }
 
-    /// Returns the address served.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how often an accept failed and the server was opened anew.
+    /// Returns how often the server was reopened because an accept failed.
     pub fn reopened(&self) -> u64 {
         self.reopened.load(Ordering::Relaxed)
     }
 
-    /// Waits for the next request; nothing once [`HttpListener::stop`] was called.
+    /// Waits for the next request. After [`HttpListener::stop`] it returns the requests already on
+    /// their way, then `None`.
     pub fn next(&self) -> Option<Request> {
         loop {
             let server = self.server();
-            // The marker that ends a wait comes once, so no wait without a bound follows the stop.
+            // `unblock` in `stop` ends only one wait, so a wait after the stop needs a timeout.
             if self.stopped.load(Ordering::Acquire) {
-                return self.next_of_the_last(&server);
+                return self.next_while_draining(&server);
             }
             match server.recv() {
                 Ok(request) => return Some(request),
                 Err(_) if self.stopped.load(Ordering::Acquire) => {
-                    return self.next_of_the_last(&server);
+                    return self.next_while_draining(&server);
                 }
                 Err(error) => self.reopen(&server, &error),
             }
         }
     }
 
-    /// Accepts no further connection and ends every [`HttpListener::next`], under way and to come,
-    /// once it has given out what was received.
+    /// Stops accepting connections. Current and later calls of [`HttpListener::next`] return `None`
+    /// once the requests already received are handed out.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
-        // New callers are refused by the system, so they know that nothing ran.
+        // The system refuses new connections from here on, so callers know that nothing was run.
         if let Err(error) = SockRef::from(&self.listener).shutdown(Shutdown::Both) {
-            log::debug!(address:% = self.address; "listener was closed before: {error}");
+            log::debug!(address:% = self.address; "shutting down the listening socket failed: {error}");
         }
         self.server().unblock();
     }
 
     /// Waits for a request on a connection that was accepted before the stop.
-    fn next_of_the_last(&self, server: &Server) -> Option<Request> {
-        receive_within(server, LAST_QUIET.min(self.left(LAST_BOUND)))
+    fn next_while_draining(&self, server: &Server) -> Option<Request> {
+        receive_within(
+            server,
+            DRAIN_IDLE_TIMEOUT.min(self.remaining(DRAIN_TIMEOUT)),
+        )
     }
 
-    /// Waits for a request that came after [`HttpListener::next`] had ended, on a connection accepted
-    /// before the stop; nothing once five seconds have passed since.
+    /// Waits for a request that arrives after [`HttpListener::next`] has returned `None`, on a
+    /// connection accepted before the stop. Returns `None` five seconds after the first wait that
+    /// followed the stop.
     pub fn next_after_stop(&self) -> Option<Request> {
-        receive_within(&self.server(), self.left(LATE_BOUND))
+        receive_within(&self.server(), self.remaining(AFTER_STOP_TIMEOUT))
     }
 
-    /// Returns what is left of a bound that began with the first wait after the stop.
-    fn left(&self, bound: Duration) -> Duration {
-        let since = *self.ended.get_or_init(Instant::now);
-        bound.saturating_sub(since.elapsed())
+    /// Returns what remains of a timeout that counts from the first wait after the stop.
+    fn remaining(&self, timeout: Duration) -> Duration {
+        let start = *self.drain_start.get_or_init(Instant::now);
+        timeout.saturating_sub(start.elapsed())
     }
 
     fn reopen(&self, failed: &Arc<Server>, error: &io::Error) {
@@ -133,10 +140,10 @@
         }
         self.reopened.fetch_add(1, Ordering::Relaxed);
         log::warn!(address:% = self.address; "accept failed: {error}");
-        thread::sleep(REOPEN_PAUSE);
+        thread::sleep(REOPEN_BACKOFF);
         match open(&self.listener) {
             Ok(opened) => *server = Arc::new(opened),
-            Err(error) => log::warn!(address:% = self.address; "can't open anew: {error}"),
+            Err(error) => log::warn!(address:% = self.address; "reopening failed: {error}"),
         }
     }
 
@@ -150,15 +157,15 @@
     Server::from_listener(listener.try_clone()?, None).map_err(io::Error::other)
 }
 
-/// Waits for a request for the whole bound, whatever else ends a wait of the server.
-fn receive_within(server: &Server, bound: Duration) -> Option<Request> {
-    let end = Instant::now() + bound;
+/// Waits for a request for the whole timeout, even if the server's own wait ends early.
+fn receive_within(server: &Server, timeout: Duration) -> Option<Request> {
+    let deadline = Instant::now() + timeout;
     loop {
-        let left = end.saturating_duration_since(Instant::now());
-        if let Ok(Some(request)) = server.recv_timeout(left) {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if let Ok(Some(request)) = server.recv_timeout(remaining) {
             return Some(request);
         }
-        if left.is_zero() {
+        if remaining.is_zero() {
             return None;
         }
     }
--- a/crates/godwitspool-process/src/lib.rs
+++ b/crates/godwitspool-process/src/lib.rs
@@ -1,7 +1,7 @@
-//! What lives for a process: settings, timers, logs, metrics, membership and the log reader.
+//! Process-wide services: settings, timers, logs, metrics, membership and the log reader.
 //!
-//! Settings and the operators' folder are YAML; everything wrong in them is collected as findings
-//! with file, line and column and reported together.
+//! Settings and the operators' folder are YAML. All mistakes in them are reported together, as
+//! findings with file, line and column.
 //!
 //! ```
 //! use godwitspool_process::{EntrySettings, Findings};
@@ -30,8 +30,8 @@
 pub use daemon::{DaemonCommand, Termination};
 pub use findings::Findings;
 pub use http_listener::HttpListener;
-pub use log_queue::{LineLimit, LogQueue, install_queue};
-pub use metrics::{CounterByReason, Metrics, Watched};
+pub use log_queue::{LogQueue, LogRateLimit, install_queue};
+pub use metrics::{CounterByReason, CounterSample, Metrics};
 pub use operator_http::{OperatorApi, OperatorHttp, Readiness};
 pub use program::Program;
 pub use prometheus_client::metrics::histogram::Histogram;
--- a/crates/godwitspool-process/src/log_queue.rs
+++ b/crates/godwitspool-process/src/log_queue.rs
@@ -1,4 +1,4 @@
-//! Log lines that never hold up the thread that writes them.
+//! A logger that never blocks the thread that logs.
 
 use std::{
     collections::HashMap,
@@ -23,107 +23,111 @@
 
 use crate::{LogFormat, logs::line};
 
-/// Lines that wait for the output; some 200 bytes each, so under a megabyte.
-const QUEUE_LINES: usize = 4_096;
-/// Lines of one kind in a second. A host starts and ends some dozen items a second at most.
-const KIND_LINES: u32 = 200;
-/// Warnings of one kind in a second: they tell of failures and are the last to go.
-const WARNING_LINES: u32 = 1_000;
+/// Lines that the queue holds. A line has some 200 bytes, so a full queue stays under 1 MB.
+const QUEUE_CAPACITY: usize = 4_096;
+/// Limit on lines of one kind, except warnings. A host starts and ends at most a few dozen items a
+/// second.
+const MAX_LINES_PER_S: u32 = 200;
+/// Limit on warnings and errors of one kind. They report failures, so they are suppressed last.
+const MAX_WARNINGS_PER_S: u32 = 1_000;
 
-/// Lines shorter than this fit into a pipe that takes anything at all (POSIX, `PIPE_BUF`).
-const DIRECT_BYTES: usize = 4_096;
-/// Bound on the last write of a process that ends: half of the second that a drain keeps back.
+/// A writable pipe takes a line shorter than this without blocking (POSIX `PIPE_BUF`).
+const PIPE_BUF_BYTES: usize = 4_096;
+/// Limit on the flush when the process ends: half of the second that a drain reserves for it.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Counts lines by kind and second, and says which are left out.
+/// Limits the number of lines per second for each kind of line.
+///
+/// The kind is the message or, for a message with arguments, the target.
 ///
 /// ```
-/// use godwitspool_process::LineLimit;
+/// use godwitspool_process::LogRateLimit;
 /// use log::Level;
 ///
-/// let mut limit = LineLimit::default();
+/// let mut limit = LogRateLimit::default();
 /// let written = (0..10_000).filter(|_| limit.admit("item starts", Level::Info, 7)).count();
 /// assert!(written < 1_000);
-/// assert_eq!(limit.take_left_out(8), [("item starts".to_owned(), 10_000 - written as u32)]);
+/// assert_eq!(limit.take_suppressed(8), [("item starts".to_owned(), 10_000 - written as u32)]);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct LineLimit {
+pub struct LogRateLimit {
     second: u64,
-    /// Lines of this second by kind, warnings by themselves.
+    /// Lines in the current second by kind and by whether they are warnings or errors.
     counts: HashMap<(String, bool), u32>,
-    left_out: HashMap<String, u32>,
+    suppressed: HashMap<String, u32>,
 }
 
-impl LineLimit {
-    /// Tells whether a line of a kind is written in a second.
+impl LogRateLimit {
+    /// Counts a line and returns whether it is within the limit for its kind and second.
     pub fn admit(&mut self, kind: &str, level: Level, second: u64) -> bool {
         if second != self.second {
             self.second = second;
             self.counts.clear();
         }
-        let most = if level <= Level::Warn {
-            WARNING_LINES
+        let max_lines = if level <= Level::Warn {
+            MAX_WARNINGS_PER_S
         } else {
-            KIND_LINES
+            MAX_LINES_PER_S
         };
         let key = (kind.to_owned(), level <= Level::Warn);
         let count = self.counts.entry(key).or_default();
         *count += 1;
-        let admitted = *count <= most;
+        let admitted = *count <= max_lines;
         if !admitted {
-            *self.left_out.entry(kind.to_owned()).or_default() += 1;
+            *self.suppressed.entry(kind.to_owned()).or_default() += 1;
         }
         admitted
     }
 
-    /// Takes the counts of lines that were left out before a second.
-    pub fn take_left_out(&mut self, second: u64) -> Vec<(String, u32)> {
-        if second <= self.second || self.left_out.is_empty() {
+    /// Takes the number of suppressed lines by kind, once a later second has begun.
+    pub fn take_suppressed(&mut self, second: u64) -> Vec<(String, u32)> {
+        if second <= self.second || self.suppressed.is_empty() {
             return Vec::new();
         }
-        let mut left_out: Vec<_> = self.left_out.drain().collect();
-        left_out.sort();
-        left_out
+        let mut suppressed: Vec<_> = self.suppressed.drain().collect();
+        suppressed.sort();
+        suppressed
     }
 }
 
-/// Writes log lines of this process to standard output from now on. A line goes there at once while
-/// the output takes it, since waking a thread costs more than the write; otherwise it waits in a
-/// queue. Lines that the queue can't hold are left out and counted.
+/// Installs the process's logger, which writes to standard output.
+///
+/// A line is written directly while the output is writable, since waking a thread costs more than
+/// the write; otherwise it is queued. Lines that don't fit into the queue are dropped and counted.
 ///
 /// # Errors
 ///
-/// When a logger is set already or no thread can be started.
+/// Fails if a logger is already installed or the thread can't be started.
 pub fn install_queue(format: LogFormat) -> io::Result<LogQueue> {
-    let (lines, receiver) = Lines::new(stdout());
-    let (lost, waiting) = (Arc::clone(&lines.dropped), Arc::clone(&lines.waiting));
+    let (lines, receiver) = LineSink::new(stdout());
+    let (drop_count, waiting) = (Arc::clone(&lines.dropped), Arc::clone(&lines.waiting));
     thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || write_lines(&receiver, &lost, &waiting, io::stdout()))?;
+        .spawn(move || write_lines(&receiver, &drop_count, &waiting, io::stdout()))?;
     let queue = LogQueue {
         sender: lines.sender.clone(),
     };
     let set: Result<(), SetLoggerError> = fern::Dispatch::new()
         .level(LevelFilter::Info)
-        .chain(fern::Output::call(write_to(format, lines)))
+        .chain(fern::Output::call(log_to(format, lines)))
         .apply();
     set.map_err(io::Error::other)?;
     Ok(queue)
 }
 
-/// Where lines go.
-struct Lines<O> {
-    /// Lines that neither the output nor the queue took.
+/// The output and the queue in front of it.
+struct LineSink<O> {
+    /// Lines dropped since the last report.
     dropped: Arc<AtomicU64>,
     output: Mutex<O>,
     sender: SyncSender<Entry>,
-    /// Lines in the queue; while there are any, others don't overtake them.
+    /// Lines in the queue. Direct writes pause while it is above 0, to keep the lines in order.
     waiting: Arc<AtomicU64>,
 }
 
-impl<O: AsFd> Lines<O> {
+impl<O: AsFd> LineSink<O> {
     fn new(output: O) -> (Self, Receiver<Entry>) {
-        let (sender, receiver) = sync_channel(QUEUE_LINES);
+        let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
         let lines = Self {
             dropped: Arc::default(),
             output: Mutex::new(output),
@@ -133,12 +137,12 @@
         (lines, receiver)
     }
 
-    /// Writes a line or has it wait; never blocks.
+    /// Writes or queues a line without blocking.
     fn send(&self, line: String) {
         let output = self.output.lock().unwrap_or_else(PoisonError::into_inner);
-        let overtakes = self.waiting.load(Ordering::SeqCst) > 0;
-        let untold = self.dropped.load(Ordering::SeqCst) > 0;
-        if !overtakes && !untold && line.len() < DIRECT_BYTES && is_writable(&*output) {
+        let has_queued = self.waiting.load(Ordering::SeqCst) > 0;
+        let has_unreported = self.dropped.load(Ordering::SeqCst) > 0;
+        if !has_queued && !has_unreported && line.len() < PIPE_BUF_BYTES && is_writable(&*output) {
             let text = line + "\n";
             let written = rustix::io::write(&*output, text.as_bytes());
             if written != Ok(text.len()) {
@@ -154,26 +158,24 @@
     }
 }
 
-/// Tells whether the output takes a short line without blocking.
+/// Returns whether the output takes a line shorter than [`PIPE_BUF_BYTES`] without blocking.
 fn is_writable(output: &impl AsFd) -> bool {
     let mut polled = [PollFd::new(output, PollFlags::OUT)];
-    let at_once = Timespec {
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    let ready = poll(&mut polled, Some(&at_once));
+    let ready = poll(&mut polled, Some(&no_wait));
     ready.is_ok() && polled[0].revents().contains(PollFlags::OUT)
 }
 
-/// What waits for the output.
 enum Entry {
     Line(String),
-    /// Everything before it is to be written, then this channel closed.
+    /// The channel closes once all entries before this one are written.
     Flush(SyncSender<()>),
 }
 
-/// The queue of lines that wait for the output. Dropped, it waits a short time until they are
-/// written.
+/// A handle of the installed logger that flushes its queue on drop, for at most half a second.
 #[derive(Debug)]
 pub struct LogQueue {
     sender: SyncSender<Entry>,
@@ -182,44 +184,44 @@
 impl Drop for LogQueue {
     fn drop(&mut self) {
         let (done, written) = sync_channel(0);
-        // With a full queue nobody reads the output.
+        // A full queue means that nobody reads the output, so there is no point in waiting.
         if self.sender.try_send(Entry::Flush(done)).is_ok() {
             let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-fn write_to<O: AsFd + Send>(
+fn log_to<O: AsFd + Send>(
     format: LogFormat,
-    lines: Lines<O>,
+    lines: LineSink<O>,
 ) -> impl Fn(&log::Record<'_>) + Send + Sync {
-    let limit = Mutex::new(LineLimit::default());
+    let limit = Mutex::new(LogRateLimit::default());
     move |record| {
-        let age = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let kind = record.args().as_str().unwrap_or(record.target());
         let mut limit = limit.lock().unwrap_or_else(PoisonError::into_inner);
-        let left_out = limit.take_left_out(age.as_secs());
-        let admitted = limit.admit(kind, record.level(), age.as_secs());
+        let suppressed = limit.take_suppressed(since_epoch.as_secs());
+        let admitted = limit.admit(kind, record.level(), since_epoch.as_secs());
         drop(limit);
-        for (kind, count) in left_out {
-            lines.send(left_out_line(age, &kind, count));
+        for (kind, count) in suppressed {
+            lines.send(suppressed_line(since_epoch, &kind, count));
         }
         if admitted {
-            lines.send(line(format, age, record));
+            lines.send(line(format, since_epoch, record));
         }
     }
 }
 
-fn left_out_line(age: Duration, kind: &str, count: u32) -> String {
-    let (seconds, millis) = (age.as_secs(), age.subsec_millis());
+fn suppressed_line(since_epoch: Duration, kind: &str, count: u32) -> String {
+    let (seconds, millis) = (since_epoch.as_secs(), since_epoch.subsec_millis());
     format!(
-        "time={seconds}.{millis:03} level=warn message=\"lines left out\" kind={kind:?} count={count}"
+        "time={seconds}.{millis:03} level=warn message=\"lines suppressed\" kind={kind:?} count={count}"
     )
 }
 
-/// Writes lines until their senders are gone, and how many were dropped since the line before.
+/// Writes queued lines until all senders are dropped, and reports the number of dropped lines.
 fn write_lines(
     receiver: &Receiver<Entry>,
     dropped: &AtomicU64,
@@ -228,16 +230,16 @@
 ) {
     while let Ok(first) = receiver.recv() {
         let mut text = String::new();
-        let mut flushed = Vec::new();
+        let mut flushes = Vec::new();
         let mut taken = 0;
-        for entry in iter::once(first).chain(receiver.try_iter().take(QUEUE_LINES)) {
+        for entry in iter::once(first).chain(receiver.try_iter().take(QUEUE_CAPACITY)) {
             match entry {
                 Entry::Line(line) => {
                     taken += 1;
                     text.push_str(&line);
                     text.push('\n');
                 }
-                Entry::Flush(done) => flushed.push(done),
+                Entry::Flush(done) => flushes.push(done),
             }
         }
         let lost = dropped.swap(0, Ordering::SeqCst);
@@ -245,13 +247,13 @@
             // Writing to a string doesn't fail.
             let _ = writeln!(text, "level=warn message=\"lines dropped\" count={lost}");
         }
-        // If nobody reads the output the lines have nowhere to go; a failed flush shows at the next
-        // write.
+        // A write error means that nobody reads the output, so there is nowhere to report it. After
+        // a failed flush the next write fails.
         if output.write_all(text.as_bytes()).is_ok() {
             let _ = output.flush();
         }
         waiting.fetch_sub(taken, Ordering::SeqCst);
-        drop(flushed);
+        drop(flushes);
     }
 }
 
--- a/crates/godwitspool-process/src/log_queue/tests.rs
+++ b/crates/godwitspool-process/src/log_queue/tests.rs
@@ -6,14 +6,14 @@
 
 use super::*;
 
-/// Fills a pipe until it takes nothing more.
+/// Fills a pipe until it is no longer writable.
 fn fill(pipe: &OwnedFd) {
     while is_writable(pipe) {
-        rustix::io::write(pipe, &[b'\n'; DIRECT_BYTES]).unwrap();
+        rustix::io::write(pipe, &[b'\n'; PIPE_BUF_BYTES]).unwrap();
     }
 }
 
-/// Reads what stands in a pipe until `end` ends it.
+/// Reads from a pipe until the text ends with `end`.
 fn read_to(pipe: &OwnedFd, end: &str) -> String {
     let mut text = Vec::new();
     while !text.ends_with(end.as_bytes()) {
@@ -25,32 +25,36 @@
 }
 
 #[test]
-fn a_line_is_written_at_once_while_the_output_takes_it() {
+fn a_line_is_written_directly_while_the_output_is_writable() {
     let (reader, writer) = pipe().unwrap();
-    let (lines, receiver) = Lines::new(writer);
+    let (lines, receiver) = LineSink::new(writer);
     lines.send("line".to_owned());
     assert_eq!(read_to(&reader, "\n"), "line\n");
-    assert!(receiver.try_recv().is_err(), "nothing waits");
+    assert!(receiver.try_recv().is_err(), "nothing is queued");
 }
 
 #[test]
-fn a_full_pipe_drops_lines_and_holds_nobody_up() {
+fn a_full_pipe_drops_lines_without_blocking() {
     let (_reader, writer) = pipe().unwrap();
     fill(&writer);
-    let (lines, _receiver) = Lines::new(writer);
-    for number in 0..3 * QUEUE_LINES {
+    let (lines, _receiver) = LineSink::new(writer);
+    for number in 0..3 * QUEUE_CAPACITY {
         lines.send(format!("line {number}"));
     }
     let dropped = lines.dropped.load(Ordering::SeqCst);
-    assert_eq!(dropped, 2 * QUEUE_LINES as u64, "the queue holds the rest");
+    assert_eq!(
+        dropped,
+        2 * QUEUE_CAPACITY as u64,
+        "the queue holds the rest"
+    );
 }
 
 #[test]
-fn lines_that_waited_keep_their_order() {
+fn queued_lines_keep_their_order() {
     let (reader, writer) = pipe().unwrap();
     fill(&writer);
     let output = writer.try_clone().unwrap();
-    let (lines, receiver) = Lines::new(writer);
+    let (lines, receiver) = LineSink::new(writer);
     lines.send("first".to_owned());
     let (dropped, waiting) = (Arc::clone(&lines.dropped), Arc::clone(&lines.waiting));
     let thread = thread::spawn(move || {
@@ -68,20 +72,20 @@
 }
 
 #[test]
-fn warnings_are_the_last_to_go() {
-    let mut limit = LineLimit::default();
+fn warnings_have_a_limit_of_their_own() {
+    let mut limit = LogRateLimit::default();
     let mut written = |level| (0..5_000).filter(|_| limit.admit("kind", level, 1)).count();
     assert!(written(Level::Info) < 5_000);
     assert!(
         written(Level::Warn) > 0,
-        "warnings pass after the others are used up"
+        "warnings are admitted after the limit on info lines is reached"
     );
 }
 
 #[test]
-fn dropped_lines_are_told() {
+fn dropped_lines_are_reported() {
     let (_reader, writer) = pipe().unwrap();
-    let (lines, receiver) = Lines::new(writer);
+    let (lines, receiver) = LineSink::new(writer);
     lines.dropped.store(7, Ordering::SeqCst);
     lines.send("line".to_owned());
     let (dropped, waiting) = (Arc::clone(&lines.dropped), Arc::clone(&lines.waiting));
@@ -93,10 +97,10 @@
 }
 
 #[test]
-fn a_flush_ends_once_what_waited_is_written() {
+fn a_flush_ends_once_queued_lines_are_written() {
     let (_reader, writer) = pipe().unwrap();
     fill(&writer);
-    let (lines, receiver) = Lines::new(writer);
+    let (lines, receiver) = LineSink::new(writer);
     lines.send("last".to_owned());
     let (done, written) = sync_channel(0);
     assert!(lines.sender.try_send(Entry::Flush(done)).is_ok());
--- a/crates/godwitspool-process/src/log_reader/thread.rs
+++ b/crates/godwitspool-process/src/log_reader/thread.rs
@@ -19,7 +19,7 @@
     source::{Answer, Sources},
 };
 use crate::{
-    Clock, Metrics, Watched,
+    Clock, CounterSample, Metrics,
     membership::{Gossip, Hints},
 };
 
@@ -118,13 +118,13 @@
     /// Exports the counters as metrics.
     pub fn register(&self, metrics: &Metrics) {
         let shared = Arc::clone(&self.shared);
-        metrics.watch(move || {
+        metrics.register_counters(move || {
             let counts = shared.replica().counts();
-            let watched = |name, help, value| Watched { name, help, value };
+            let sample = |name, help, value| CounterSample { name, help, value };
             vec![
-                watched("log_applied", "Records of the log applied", counts.applied),
-                watched("log_gaps", "Gaps in the log that were noticed", counts.gaps),
-                watched("log_restored", "Snapshots restored", counts.restored),
+                sample("log_applied", "Records of the log applied", counts.applied),
+                sample("log_gaps", "Gaps in the log that were noticed", counts.gaps),
+                sample("log_restored", "Snapshots restored", counts.restored),
             ]
         });
     }
--- a/crates/godwitspool-process/src/logs.rs
+++ b/crates/godwitspool-process/src/logs.rs
@@ -1,6 +1,6 @@
-//! Structured log lines: `key=value` pairs or one JSON object a line.
+//! Structured log lines: `key=value` pairs or one JSON object per line.
 //!
-//! What a line is about goes into its pairs, the request id under `request`:
+//! The subjects of a line are logged as pairs; the request id has the key `request`:
 //!
 //! ```
 //! log::info!(request = "4af1", target_name = "engine-3"; "stream ended");
@@ -19,24 +19,24 @@
 
 use crate::LogFormat;
 
-/// Writes log lines of this process to standard error from now on.
+/// Installs a logger for the process that writes to standard error.
 ///
 /// # Errors
 ///
-/// When a logger is set already.
+/// Fails if a logger is already installed.
 pub fn install(format: LogFormat) -> Result<(), SetLoggerError> {
     fern::Dispatch::new()
         .level(LevelFilter::Info)
         .format(move |out, _, record| {
-            let age = SystemTime::now().duration_since(UNIX_EPOCH);
-            let line = line(format, age.unwrap_or_default(), record);
+            let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+            let line = line(format, since_epoch.unwrap_or_default(), record);
             out.finish(format_args!("{line}"));
         })
         .chain(io::stderr())
         .apply()
 }
 
-/// Formats a line; `time` counts from 1970.
+/// Formats a line without its line break; `time` counts from the Unix epoch.
 ///
 /// ```
 /// use std::time::Duration;
@@ -76,8 +76,6 @@
     }
 }
 
-// ---
-
 struct Pair {
     key: String,
     value: String,
@@ -120,7 +118,7 @@
     }
 }
 
-/// Whether a character needs no quotes around its value.
+/// Returns whether a value with this character needs no quotes.
 fn is_plain(c: char) -> bool {
     c.is_ascii_graphic() && !matches!(c, '"' | '=' | '\\')
 }
--- a/crates/godwitspool-process/src/membership/gossip.rs
+++ b/crates/godwitspool-process/src/membership/gossip.rs
@@ -19,7 +19,7 @@
     DATAGRAM_BYTES, Datagram, Hints, MemberRecord, Membership, MembershipAction, MembershipCounts,
     MembershipEvent, MembershipRules, RumorBody,
 };
-use crate::{Clock, Metrics, Watched};
+use crate::{Clock, CounterSample, Metrics};
 
 /// Interval of [`MembershipEvent::Tick`], and the socket's receive timeout.
 const TICK: Duration = Duration::from_millis(25);
@@ -155,7 +155,7 @@
     /// Exports the counters as metrics.
     pub fn register(&self, metrics: &Metrics) {
         let shared = Arc::clone(&self.shared);
-        metrics.watch(move || watched(&shared.counts()));
+        metrics.register_counters(move || samples(&shared.counts()));
     }
 
     /// Replaces the list of hosts, which comes from the platform or the settings. It may be out of
@@ -303,48 +303,48 @@
     )
 }
 
-fn watched(counts: &GossipCounts) -> Vec<Watched> {
-    let watched = |name, help, value| Watched { name, help, value };
+fn samples(counts: &GossipCounts) -> Vec<CounterSample> {
+    let sample = |name, help, value| CounterSample { name, help, value };
     let members = &counts.membership;
     vec![
-        watched(
+        sample(
             "gossip_damaged",
             "Datagrams that were damaged",
             counts.damaged,
         ),
-        watched(
+        sample(
             "gossip_received",
             "Datagrams that came whole",
             counts.received,
         ),
-        watched("gossip_sent", "Datagrams sent", counts.sent),
-        watched(
+        sample("gossip_sent", "Datagrams sent", counts.sent),
+        sample(
             "gossip_sent_bytes",
             "Bytes of the datagrams sent",
             counts.sent_bytes,
         ),
-        watched(
+        sample(
             "gossip_unsent",
             "Datagrams that could not be sent",
             counts.unsent,
         ),
-        watched("members_down", "Hosts found gone here", members.downs),
-        watched(
+        sample("members_down", "Hosts found gone here", members.downs),
+        sample(
             "members_suspected",
             "Hosts suspected here",
             members.suspected,
         ),
-        watched(
+        sample(
             "membership_pauses",
             "Pauses of this process that were noticed",
             members.pauses,
         ),
-        watched(
+        sample(
             "membership_refuted",
             "Suspicions of this host that it refuted",
             members.refuted,
         ),
-        watched(
+        sample(
             "membership_twins",
             "Later lives of this host's name",
             members.twins,
--- a/crates/godwitspool-process/src/metrics.rs
+++ b/crates/godwitspool-process/src/metrics.rs
@@ -17,7 +17,7 @@
     registry::Registry,
 };
 
-/// The registry of one process. Parts ask it for their metrics and keep them.
+/// The metrics registry of a process. Each part registers its metrics and keeps their handles.
 ///
 /// ```
 /// use godwitspool_process::Metrics;
@@ -56,35 +56,35 @@
         gauge
     }
 
-    /// Registers a histogram of seconds, from a millisecond to half an hour.
+    /// Registers a histogram of times in seconds, with 21 buckets that double from 1 ms to 17 min.
     pub fn seconds_histogram(&self, name: &str, help: &str) -> Histogram {
         let histogram = Histogram::new(exponential_buckets(0.001, 2.0, 21));
         self.registry().register(name, help, histogram.clone());
         histogram
     }
 
-    /// Registers a counter for each reason.
+    /// Registers a counter with a `reason` label.
     pub fn counter_by_reason(&self, name: &str, help: &str) -> CounterByReason {
         let reasons = CounterByReason::default();
         self.registry().register(name, help, reasons.0.clone());
         reasons
     }
 
-    /// Registers counters that are kept elsewhere and read when they are asked for.
+    /// Registers counters that are kept elsewhere; `read` is called for each [`Metrics::text`].
     ///
     /// ```
-    /// use godwitspool_process::{Metrics, Watched};
+    /// use godwitspool_process::{Metrics, CounterSample};
     ///
     /// let metrics = Metrics::default();
-    /// metrics.watch(|| vec![Watched { name: "pauses", help: "Pauses noticed", value: 3 }]);
+    /// metrics.register_counters(|| vec![CounterSample { name: "pauses", help: "Pauses noticed", value: 3 }]);
     /// assert!(metrics.text().contains("godwitspool_pauses_total 3"));
     /// ```
-    pub fn watch(&self, read: impl Fn() -> Vec<Watched> + Send + Sync + 'static) {
-        let watch = Box::new(Watch(Box::new(read)));
-        self.registry().register_collector(watch);
+    pub fn register_counters(&self, read: impl Fn() -> Vec<CounterSample> + Send + Sync + 'static) {
+        let collector = Box::new(CounterCollector(Box::new(read)));
+        self.registry().register_collector(collector);
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string doesn't fail.
@@ -97,7 +97,7 @@
     }
 }
 
-/// A counter for each reason of a refusal, a retry or another event.
+/// A counter with a `reason` label, for refusals, retries and other events.
 #[derive(Clone, Debug, Default)]
 pub struct CounterByReason(Family<Reason, Counter>);
 
@@ -107,44 +107,44 @@
 }
 
 impl CounterByReason {
-    /// Counts one more event.
+    /// Increments the counter of a reason.
     pub fn count(&self, reason: &'static str) {
         self.add(reason, 1);
     }
 
-    /// Counts more events.
+    /// Adds a number of events to the counter of a reason.
     pub fn add(&self, reason: &'static str, events: u64) {
         self.0.get_or_create(&Reason { reason }).inc_by(events);
     }
 
-    /// Returns how many events were counted for a reason.
+    /// Returns the value of a reason's counter.
     pub fn counted(&self, reason: &'static str) -> u64 {
         self.0.get_or_create(&Reason { reason }).get()
     }
 }
 
-/// A counter that is kept elsewhere.
+/// The current value of a counter that is kept outside the registry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Watched {
-    /// Name.
+pub struct CounterSample {
+    /// Name of the metric, without the `godwitspool_` prefix and the `_total` suffix.
     pub name: &'static str,
-    /// What it counts.
+    /// Help text of the metric.
     pub help: &'static str,
-    /// The count.
+    /// Events since the process started.
     pub value: u64,
 }
 
-struct Watch(Box<dyn Fn() -> Vec<Watched> + Send + Sync>);
+struct CounterCollector(Box<dyn Fn() -> Vec<CounterSample> + Send + Sync>);
 
-impl fmt::Debug for Watch {
+impl fmt::Debug for CounterCollector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Watch").finish_non_exhaustive()
+        f.debug_struct("CounterCollector").finish_non_exhaustive()
     }
 }
 
-impl Collector for Watch {
+impl Collector for CounterCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        for Watched { name, help, value } in (self.0)() {
+        for CounterSample { name, help, value } in (self.0)() {
             let counter = ConstCounter::new(value);
             let kind = counter.metric_type();
             counter.encode(encoder.encode_descriptor(name, help, None, kind)?)?;
--- a/crates/godwitspool-process/src/operator_http.rs
+++ b/crates/godwitspool-process/src/operator_http.rs
@@ -1,5 +1,5 @@
-//! What a daemon tells its operators over HTTP: `/metrics`, `/healthz`, `/readyz`, `/status` and
-//! pages of its own.
+//! The HTTP server for operators: `/metrics`, `/healthz`, `/readyz`, `/status` and a daemon's own
+//! pages.
 
 use std::{
     io,
@@ -13,38 +13,39 @@
 
 use crate::{HttpListener, Metrics};
 
-const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-const JSON: &str = "application/json";
+const OPEN_METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const JSON_TYPE: &str = "application/json";
 
-/// Whether a daemon can do its work.
+/// Whether a daemon is ready to serve.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Readiness {
-    /// It can't, and why.
+    /// The daemon is not ready, with the reason. `/readyz` answers with status 503.
     NotReady(String),
-    /// It can.
+    /// The daemon is ready. `/readyz` answers with status 200.
     Ready,
 }
 
-/// What operators ask of a daemon.
+/// What a daemon provides to its operators.
 pub trait OperatorApi: Send + Sync + 'static {
-    /// Tells whether the daemon can do its work.
+    /// Returns whether the daemon is ready to serve.
     fn readiness(&self) -> Readiness;
 
-    /// Tells the daemon's state.
+    /// Returns the contents of `/status`.
     fn status(&self) -> Value;
 
-    /// Answers a further page, such as `/explain/ID`; nothing when there is none.
+    /// Answers a GET request for a further page, such as `/explain/ID`; `None` if there is no such
+    /// page.
     fn page(&self, _path: &str) -> Option<Value> {
         None
     }
 
-    /// Carries out an action, such as `/drain`; nothing when there is none.
+    /// Performs the action of a POST request, such as `/drain`; `None` if there is no such action.
     fn act(&self, _path: &str) -> Option<Value> {
         None
     }
 }
 
-/// Serves a daemon's pages until it is stopped or dropped.
+/// Serves a daemon's pages in a thread until it is stopped or dropped.
 #[derive(Debug)]
 pub struct OperatorHttp {
     listener: Arc<HttpListener>,
@@ -52,15 +53,15 @@
 }
 
 impl OperatorHttp {
-    /// Starts to serve.
+    /// Starts serving on a bound socket.
     ///
     /// # Errors
     ///
-    /// When the listener can't be served or no thread can be started.
+    /// Fails if the socket can't be configured, or the server or its thread can't be started.
     pub fn start(
         listener: TcpListener,
         metrics: Arc<Metrics>,
-        operated: Arc<impl OperatorApi>,
+        api: Arc<impl OperatorApi>,
     ) -> io::Result<Self> {
         let listener = Arc::new(HttpListener::new(listener)?);
         let own = Arc::clone(&listener);
@@ -68,7 +69,7 @@
             .name("operator-http".to_owned())
             .spawn(move || {
                 while let Some(request) = own.next() {
-                    answer(request, &metrics, &*operated);
+                    answer(request, &metrics, &*api);
                 }
             })?;
         Ok(Self {
@@ -77,12 +78,12 @@
         })
     }
 
-    /// Returns the address served.
+    /// Returns the listening address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Ends the service.
+    /// Stops serving and waits for the thread to end.
     pub fn stop(mut self) {
         self.end();
     }
@@ -101,11 +102,9 @@
     }
 }
 
-// ---
-
 struct Page {
     status: u16,
-    kind: &'static str,
+    content_type: &'static str,
     text: String,
 }
 
@@ -113,38 +112,38 @@
     fn json(status: u16, value: &Value) -> Self {
         Self {
             status,
-            kind: JSON,
+            content_type: JSON_TYPE,
             text: value.to_string(),
         }
     }
 }
 
-fn answer(request: Request, metrics: &Metrics, operated: &impl OperatorApi) {
-    let page = page(&request, metrics, operated);
+fn answer(request: Request, metrics: &Metrics, api: &impl OperatorApi) {
+    let page = page(&request, metrics, api);
     let mut response = Response::from_string(page.text).with_status_code(page.status);
-    if let Ok(kind) = Header::from_bytes("Content-Type", page.kind) {
-        response.add_header(kind);
+    if let Ok(header) = Header::from_bytes("Content-Type", page.content_type) {
+        response.add_header(header);
     }
     if let Err(error) = request.respond(response) {
-        log::debug!("operator went away: {error}");
+        log::debug!("sending a page to an operator failed: {error}");
     }
 }
 
-fn page(request: &Request, metrics: &Metrics, operated: &impl OperatorApi) -> Page {
+fn page(request: &Request, metrics: &Metrics, api: &impl OperatorApi) -> Page {
     let path = request.url().split('?').next().unwrap_or_default();
     let found = match (request.method(), path) {
         (Method::Get, "/metrics") => {
             return Page {
                 status: 200,
-                kind: OPEN_METRICS,
+                content_type: OPEN_METRICS_TYPE,
                 text: metrics.text(),
             };
         }
         (Method::Get, "/healthz") => Some(json!({ "healthy": true })),
-        (Method::Get, "/readyz") => return readiness(operated),
-        (Method::Get, "/status") => Some(operated.status()),
-        (Method::Get, path) => operated.page(path),
-        (Method::Post, path) => operated.act(path),
+        (Method::Get, "/readyz") => return readiness(api),
+        (Method::Get, "/status") => Some(api.status()),
+        (Method::Get, path) => api.page(path),
+        (Method::Post, path) => api.act(path),
         (method, _) => {
             let error = format!("method {method} is not served");
             return Page::json(405, &json!({ "error": error }));
@@ -156,8 +155,8 @@
     }
 }
 
-fn readiness(operated: &impl OperatorApi) -> Page {
-    match operated.readiness() {
+fn readiness(api: &impl OperatorApi) -> Page {
+    match api.readiness() {
         Readiness::Ready => Page::json(200, &json!({ "ready": true })),
         Readiness::NotReady(reason) => {
             Page::json(503, &json!({ "ready": false, "reason": reason }))
--- a/crates/godwitspool-process/src/program.rs
+++ b/crates/godwitspool-process/src/program.rs
@@ -7,7 +7,7 @@
 /// Exit status for findings in settings or on the command line.
 const FINDINGS_STATUS: u8 = 2;
 
-/// A daemon's program: what it prints about itself, and how it is run.
+/// A daemon's program: its texts for the command line and its main function.
 ///
 /// ```
 /// use godwitspool_process::Program;
@@ -17,18 +17,18 @@
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// Text of `--help`.
+    /// Text printed for `--help`.
     pub help: &'static str,
-    /// Name on the command line.
+    /// Name printed before the version and before error messages.
     pub name: &'static str,
-    /// Text of `--version`.
+    /// Version printed for `--version`, after the name.
     pub version: &'static str,
 }
 
 impl Program {
-    /// Reads the command line, loads the settings with `load` and serves by them with `serve`.
+    /// Parses the command line, loads the settings with `load` and runs `serve` with them.
     ///
-    /// Findings are printed together and end the program with status 2.
+    /// All findings are printed and the exit status is 2 if there are any. It is 1 if `serve` fails.
     pub fn run<S>(
         &self,
         load: impl Fn(&Path) -> Result<S, Findings>,
--- a/crates/godwitspool-process/src/settings/steward.rs
+++ b/crates/godwitspool-process/src/settings/steward.rs
@@ -111,7 +111,7 @@
         let node = parse_tree(file, text)?;
         let mut fields = Fields::open(&node);
         let settings = Self::read(&mut fields);
-        Findings::from(fields.finish()).or(settings)
+        Findings::from(fields.finish()).into_result(settings)
     }
 
     fn read(fields: &mut Fields<'_>) -> Self {
--- a/crates/godwitspool-process/src/timer.rs
+++ b/crates/godwitspool-process/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service.
+//! A timer thread that sends ticks to channels.
 
 use std::{
     cmp::Reverse,
@@ -12,10 +12,10 @@
 
 use crate::Clock;
 
-/// What a subscriber gets when its time has come.
+/// A message to a subscriber whose time is due.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Tick {
-    /// The time now.
+    /// The timer's clock when the tick was sent.
     pub now: Millis,
 }
 
@@ -46,24 +46,25 @@
 
 #[derive(Default)]
 struct State {
-    next: u64,
+    last_sequence: u64,
     queue: BinaryHeap<Reverse<Subscription>>,
     stopped: bool,
 }
 
-/// Sends one tick; false once the subscriber is gone.
-type Send = Box<dyn Fn(Tick) -> bool + std::marker::Send>;
+/// Sends one tick; returns false if the receiver was dropped.
+type SendTick = Box<dyn Fn(Tick) -> bool + std::marker::Send>;
 
 struct Subscription {
     due: Millis,
-    order: u64,
+    /// Keeps subscriptions that are due at the same time in the order they were added.
+    sequence: u64,
     period: Option<Millis>,
-    send: Send,
+    send: SendTick,
 }
 
 impl Subscription {
-    fn rank(&self) -> (Millis, u64) {
-        (self.due, self.order)
+    fn sort_key(&self) -> (Millis, u64) {
+        (self.due, self.sequence)
     }
 }
 
@@ -71,13 +72,13 @@
 
 impl Ord for Subscription {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        self.rank().cmp(&other.rank())
+        self.sort_key().cmp(&other.sort_key())
     }
 }
 
 impl PartialEq for Subscription {
     fn eq(&self, other: &Self) -> bool {
-        self.rank() == other.rank()
+        self.sort_key() == other.sort_key()
     }
 }
 
@@ -96,11 +97,11 @@
 }
 
 impl Timer {
-    /// Starts the service's thread.
+    /// Starts the timer's thread.
     ///
     /// # Errors
     ///
-    /// When no thread can be started.
+    /// Fails if the thread can't be started.
     pub fn start(clock: Clock) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let own = Arc::clone(&shared);
@@ -114,14 +115,14 @@
         })
     }
 
-    /// Returns the clock by which the timer goes.
+    /// Returns the timer's clock.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// Sends a tick after each period, until the receiver is dropped.
+    /// Sends a tick after each period until the receiver is dropped. The shortest period is 1 ms.
     ///
-    /// A subscriber that falls behind gets one tick for all the periods that it missed.
+    /// If the timer falls behind, it sends one tick for all the periods that it missed.
     pub fn every<Event>(&self, period: Millis, subscriber: Sender<Event>)
     where
         Event: From<Tick> + std::marker::Send + 'static,
@@ -129,7 +130,7 @@
         self.add(period, Some(period), subscriber);
     }
 
-    /// Sends one tick after a time.
+    /// Sends one tick after `span`.
     pub fn after<Event>(&self, span: Millis, subscriber: Sender<Event>)
     where
         Event: From<Tick> + std::marker::Send + 'static,
@@ -142,10 +143,10 @@
         Event: From<Tick> + std::marker::Send + 'static,
     {
         let mut state = self.shared.lock();
-        state.next += 1;
+        state.last_sequence += 1;
         let subscription = Subscription {
             due: self.clock.now() + span,
-            order: state.next,
+            sequence: state.last_sequence,
             period: period.map(|period| period.max(Millis(1))),
             send: Box::new(move |tick| subscriber.send(tick.into()).is_ok()),
         };
@@ -198,8 +199,8 @@
         let Some(Reverse(mut first)) = self.queue.pop() else {
             return;
         };
-        let heard = (first.send)(Tick { now });
-        if let (true, Some(period)) = (heard, first.period) {
+        let sent = (first.send)(Tick { now });
+        if let (true, Some(period)) = (sent, first.period) {
             let next = first.due + period;
             first.due = if next > now { next } else { now + period };
             self.queue.push(Reverse(first));
--- a/crates/godwitspool-process/tests/operator_http.rs
+++ b/crates/godwitspool-process/tests/operator_http.rs
@@ -1,4 +1,4 @@
-//! Operators' pages and the listener below them, over real sockets.
+//! The operators' HTTP server and its listener, over real sockets.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-const GENEROUS: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Daemon(Readiness);
 
@@ -46,9 +46,9 @@
     OperatorHttp::start(listener, metrics, Arc::new(Daemon(readiness))).unwrap()
 }
 
-fn ask(address: SocketAddr, request: &str) -> String {
+fn send_request(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(GENEROUS)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let text = format!("{request} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     stream.write_all(text.as_bytes()).unwrap();
     let mut answer = String::new();
@@ -71,7 +71,7 @@
 #[case("DELETE /status", 405, "method DELETE is not served")]
 fn pages_answer(#[case] request: &str, #[case] status: u16, #[case] expected: &str) {
     let http = start(TcpListener::bind("127.0.0.1:0").unwrap(), Readiness::Ready);
-    let answer = ask(http.address(), request);
+    let answer = send_request(http.address(), request);
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status} ")),
         "{answer}"
@@ -83,15 +83,16 @@
 fn a_daemon_that_is_not_ready_says_why() {
     let reason = Readiness::NotReady("no configuration found".to_owned());
     let http = start(TcpListener::bind("127.0.0.1:0").unwrap(), reason);
-    let answer = ask(http.address(), "GET /readyz");
+    let answer = send_request(http.address(), "GET /readyz");
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     assert!(answer.contains("no configuration found"), "{answer}");
-    assert!(ask(http.address(), "GET /healthz").starts_with("HTTP/1.1 200 "));
+    assert!(send_request(http.address(), "GET /healthz").starts_with("HTTP/1.1 200 "));
 }
 
-/// Each accept fails after 10 ms without a connection, as it would with descriptors used up.
+/// Guards against a listener that stays closed after an accept fails, for example because the
+/// process has too many open files. Here each accept fails after 10 ms without a connection.
 #[test]
-fn the_listener_serves_on_after_failed_accepts() {
+fn the_listener_keeps_serving_after_failed_accepts() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let socket = SockRef::from(&listener);
     socket
@@ -110,24 +111,24 @@
     });
     let start = Instant::now();
     while listener.reopened() < 3 {
-        assert!(start.elapsed() < GENEROUS);
+        assert!(start.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(5));
     }
     for path in ["/a", "/b"] {
-        assert!(ask(listener.address(), &format!("GET {path}")).contains("ok"));
-        assert_eq!(seen.recv_timeout(GENEROUS).unwrap(), path);
+        assert!(send_request(listener.address(), &format!("GET {path}")).contains("ok"));
+        assert_eq!(seen.recv_timeout(TEST_TIMEOUT).unwrap(), path);
     }
     listener.stop();
     server.join().unwrap();
 }
 
 #[test]
-fn a_thousand_idle_connections_hinder_nobody() {
+fn a_thousand_idle_connections_do_not_block_others() {
     let http = start(TcpListener::bind("127.0.0.1:0").unwrap(), Readiness::Ready);
     let idle: Vec<_> = (0..1_000)
         .map(|_| TcpStream::connect(http.address()).unwrap())
         .collect();
-    assert!(ask(http.address(), "GET /status").contains("nyarugenge-1"));
+    assert!(send_request(http.address(), "GET /status").contains("nyarugenge-1"));
     drop(idle);
 }
 
@@ -136,12 +137,12 @@
 #[case::no_version("GET /status\r\n\r\n")]
 #[case::bad_length("POST /drain HTTP/1.1\r\nContent-Length: -1\r\n\r\n")]
 #[case::endless_header(&format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(1 << 20)))]
-fn hostile_requests_hinder_nobody(#[case] text: &str) {
+fn malformed_requests_do_not_block_others(#[case] text: &str) {
     let http = start(TcpListener::bind("127.0.0.1:0").unwrap(), Readiness::Ready);
     let mut stream = TcpStream::connect(http.address()).unwrap();
-    stream.set_write_timeout(Some(GENEROUS)).unwrap();
+    stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
     drop(stream.write_all(text.as_bytes()));
-    assert!(ask(http.address(), "GET /status").contains("nyarugenge-1"));
+    assert!(send_request(http.address(), "GET /status").contains("nyarugenge-1"));
 }
 
 #[test]
@@ -151,7 +152,7 @@
     http.stop();
     let start = Instant::now();
     while TcpListener::bind(address).is_err() {
-        assert!(start.elapsed() < GENEROUS);
+        assert!(start.elapsed() < TEST_TIMEOUT);
         thread::sleep(Duration::from_millis(5));
     }
 }
