--- a/crates/godwitspool-process/src/folder.rs
+++ b/crates/godwitspool-process/src/folder.rs
@@ -1,9 +1,9 @@
-//! The operators' folder: many small files that join into one configuration.
+//! The operators' folder: many small files that are joined into one configuration.
 //!
-//! Files are merged in the order of their names: mappings key by key, lists by appending, and for
-//! anything else the later file wins. A file that names its `party` speaks of that party's own data
-//! centres, services, classes and workspaces, which the joined configuration calls `party/name`.
-//! A file without a party uses the full names.
+//! Files are merged in the order of their names: mappings key by key, lists by appending; any other
+//! value is replaced by that of the later file. In a file with a `party`, the names of data centres,
+//! services, classes and workspaces belong to that party; the joined configuration calls them
+//! `party/name`. A file without a party uses full names.
 //!
 //! ```
 //! use godwitspool_process::folder::{Source, join};
@@ -38,14 +38,14 @@
 /// A file of the folder.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// Name.
+    /// Name of the file within the folder; it decides the order of merging.
     pub file: FileName,
-    /// Contents.
+    /// Contents of the file, in YAML.
     pub text: String,
 }
 
 impl Source {
-    /// Makes a file from its name and contents.
+    /// Creates a file from its name and contents.
     pub fn new(file: impl Into<FileName>, text: impl Into<String>) -> Self {
         Self {
             file: file.into(),
@@ -57,20 +57,20 @@
 /// The joined folder.
 #[derive(Clone, Debug)]
 pub struct Folder {
-    /// What the files say together.
+    /// The merged configuration.
     pub configuration: Configuration,
-    /// Values that a later file replaced.
+    /// Values that a later file replaced, in the order they were replaced.
     pub overrides: Vec<Override>,
 }
 
 /// A value that a later file replaced.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Override {
-    /// The value, such as `workspaces.studio/weddings.rate`.
+    /// Path of the value, such as `workspaces.studio/weddings.rate`.
     pub path: String,
-    /// Place of the value in force.
+    /// Place of the value that applies.
     pub winner: Place,
-    /// Place of the value replaced.
+    /// Place of the value that was replaced.
     pub loser: Place,
 }
 
@@ -89,17 +89,18 @@
 ///
 /// # Errors
 ///
-/// All that is wrong in all files.
+/// Returns all findings in all files, or one finding if the folder or a file can't be read or there
+/// is no such file.
 pub fn load(dir: impl AsRef<Path>) -> Result<Folder, Findings> {
     let dir = dir.as_ref();
     join(read_sources(dir).map_err(|error| unreadable(dir, &error))?)
 }
 
-/// Joins files that were read already.
+/// Joins files that have been read already.
 ///
 /// # Errors
 ///
-/// All that is wrong in all files.
+/// Returns all findings in all files.
 pub fn join(mut sources: Vec<Source>) -> Result<Folder, Findings> {
     sources.sort_by(|one, other| one.file.cmp(&other.file));
     let mut findings = Vec::new();
--- a/crates/godwitspool-process/src/folder/check.rs
+++ b/crates/godwitspool-process/src/folder/check.rs
@@ -1,11 +1,11 @@
-//! Checks what only the joined files can show: what is missing, and what doesn't fit together.
+//! Checks of the joined configuration: missing values and values that contradict each other.
 
 use godwitspool_types::{Finding, Place};
 use godwitspool_version::{Configuration, ServiceKind};
 
 use super::read::Places;
 
-/// Checks a joined configuration.
+/// Returns the findings in a joined configuration.
 pub(super) fn check(configuration: &Configuration, places: &Places) -> Vec<Finding> {
     let mut checker = Checker {
         configuration,
@@ -32,7 +32,7 @@
         for (name, class) in &self.configuration.classes {
             if class.service.as_str().is_empty() {
                 let place = self.places.of("classes", name.as_str());
-                self.find(place, format!("class {name} has no service"));
+                self.report(place, format!("class {name} has no service"));
             }
         }
     }
@@ -46,7 +46,7 @@
                     let message = format!(
                         "floor of {class} in {name} is {floor}, above its ceiling of {ceiling}"
                     );
-                    self.find(place, message);
+                    self.report(place, message);
                 }
             }
         }
@@ -62,7 +62,7 @@
             if kind == Some(ServiceKind::Engine) {
                 let place = self.places.of("services", route.as_str());
                 let message = format!("{route} is an open route, expected a plain service");
-                self.find(place, message);
+                self.report(place, message);
             }
         }
     }
@@ -73,17 +73,17 @@
             let place = self.places.of("services", name.as_str());
             match service.kind {
                 ServiceKind::Engine if !has_model => {
-                    self.find(place, format!("engine service {name} has no model"));
+                    self.report(place, format!("engine service {name} has no model"));
                 }
                 ServiceKind::Engine if !self.configuration.weights.contains_key(&service.model) => {
                     let model = &service.model;
-                    self.find(
+                    self.report(
                         place,
                         format!("model {model} of {name} has no weights version"),
                     );
                 }
                 ServiceKind::Plain if has_model => {
-                    self.find(place, format!("plain service {name} has a model"));
+                    self.report(place, format!("plain service {name} has a model"));
                 }
                 ServiceKind::Engine | ServiceKind::Plain => {}
             }
@@ -94,15 +94,15 @@
         for (name, trainer) in &self.configuration.trainers {
             let place = self.places.of("trainers", name.as_str());
             if trainer.service.as_str().is_empty() {
-                self.find(place.clone(), format!("trainer {name} has no service"));
+                self.report(place.clone(), format!("trainer {name} has no service"));
             }
             if trainer.workspace.as_str().is_empty() {
-                self.find(place.clone(), format!("trainer {name} has no workspace"));
+                self.report(place.clone(), format!("trainer {name} has no workspace"));
             }
             let service = self.configuration.services.get(&trainer.service);
             if service.is_some_and(|service| service.kind == ServiceKind::Plain) {
                 let message = format!("trainer {name} uses the plain service {}", trainer.service);
-                self.find(place, message);
+                self.report(place, message);
             }
         }
     }
@@ -112,7 +112,7 @@
             let mut services = self.configuration.services.values();
             if !services.any(|service| service.model == *model) {
                 let place = self.places.of("weights", model.as_str());
-                self.find(
+                self.report(
                     place,
                     format!("weights name the model {model}, which no service has"),
                 );
@@ -120,7 +120,7 @@
         }
     }
 
-    fn find(&mut self, place: Place, message: String) {
+    fn report(&mut self, place: Place, message: String) {
         self.findings.push(Finding { place, message });
     }
 }
--- a/crates/godwitspool-process/src/folder/merge.rs
+++ b/crates/godwitspool-process/src/folder/merge.rs
@@ -1,11 +1,11 @@
-//! Merges trees; the later wins.
+//! Merges two trees; values of the later one replace those of the earlier one.
 
 use crate::{
     folder::Override,
     yaml::{Entry, Node, Value},
 };
 
-/// Merges a later tree into an earlier one and notes which values it replaced.
+/// Merges a later tree into an earlier one and adds the replaced values to `overrides`.
 pub(super) fn merge(earlier: Node, later: Node, overrides: &mut Vec<Override>) -> Node {
     merge_at("", earlier, later, overrides)
 }
@@ -20,7 +20,7 @@
             into.extend(from);
             Value::List(into)
         }
-        // What is left empty takes nothing away.
+        // An empty value replaces nothing.
         (value, Value::Null) | (Value::Null, value) => value,
         (replaced, value) => {
             if replaced != value {
--- a/crates/godwitspool-process/src/folder/names.rs
+++ b/crates/godwitspool-process/src/folder/names.rs
@@ -1,20 +1,20 @@
-//! Names of parties and how they qualify.
+//! Qualifies the names in each file with the file's party.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use godwitspool_types::{FileName, Finding, Place};
 
-use crate::yaml::{Entry, NAME, Node, Value, is_name};
+use crate::yaml::{EXPECTED_NAME, Entry, Node, Value, is_name};
 
-/// Sections whose names belong to their party.
-const OWNED: [Section; 4] = [
+/// Sections whose names are qualified with the party.
+const QUALIFIED_SECTIONS: [Section; 4] = [
     Section::Classes,
     Section::Dcs,
     Section::Services,
     Section::Workspaces,
 ];
 
-/// Kinds of names that parties may both use.
+/// A section in which two parties may use the same name.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Section {
     Classes,
@@ -34,7 +34,9 @@
     }
 
     fn of(key: &str) -> Option<Self> {
-        OWNED.into_iter().find(|section| section.key() == key)
+        QUALIFIED_SECTIONS
+            .into_iter()
+            .find(|section| section.key() == key)
     }
 }
 
@@ -46,7 +48,7 @@
 }
 
 impl File {
-    /// Reads the party off a file.
+    /// Takes the `party` entry out of a file's tree.
     pub fn open(name: &FileName, mut top: Node, findings: &mut Vec<Finding>) -> Self {
         let mut party = None;
         if let Value::Map(entries) = &mut top.value
@@ -57,7 +59,7 @@
                 Value::Text(text) if is_name(&text) => party = Some(text),
                 other => findings.push(Finding {
                     place: entry.node.place,
-                    message: format!("party is {other}, expected {NAME}"),
+                    message: format!("party is {other}, expected {EXPECTED_NAME}"),
                 }),
             }
         }
@@ -78,7 +80,8 @@
         self.section("trainers")
     }
 
-    fn own(&self, name: &str) -> String {
+    /// Returns a name qualified with the file's party, unless it is qualified already.
+    fn with_party(&self, name: &str) -> String {
         match &self.party {
             Some(party) if !name.contains('/') => format!("{party}/{name}"),
             _ => name.to_owned(),
@@ -93,10 +96,10 @@
     }
 }
 
-/// All names that the files define, and each file's party.
+/// The names defined in all files, and each file's party.
 #[derive(Debug, Default)]
 pub(super) struct Names {
-    /// Data centres that a party calls by another name.
+    /// Full names of data centres by the names that parties give them with `same_as`.
     aliases: BTreeMap<String, String>,
     defined: BTreeSet<(Section, String)>,
     parties: BTreeMap<FileName, String>,
@@ -110,8 +113,8 @@
             if let Some(party) = &file.party {
                 names.parties.insert(file.name.clone(), party.clone());
             }
-            find_shared_trainers(file, files, findings);
-            for section in OWNED {
+            report_shared_trainers(file, files, findings);
+            for section in QUALIFIED_SECTIONS {
                 for entry in file.section(section.key()) {
                     names.define(file, section, entry);
                 }
@@ -121,7 +124,7 @@
     }
 
     fn define(&mut self, file: &File, section: Section, entry: &Entry) {
-        let name = file.own(&entry.key);
+        let name = file.with_party(&entry.key);
         match same_as(&entry.node) {
             Some(Value::Text(real)) if section == Section::Dcs => {
                 self.aliases.insert(name, real.clone());
@@ -133,7 +136,9 @@
         }
     }
 
-    /// Returns the full name that a reference in a file stands for, when it stands for something.
+    /// Returns the full name that a reference in a file refers to, or `None` if it is not defined.
+    ///
+    /// A name of the file's own party takes precedence over a shared name.
     pub fn resolve(&self, section: Section, name: &str, place: &Place) -> Option<String> {
         let own = self
             .parties
@@ -142,22 +147,22 @@
             .map(|party| format!("{party}/{name}"));
         own.into_iter()
             .chain([name.to_owned()])
-            .find_map(|full| self.find(section, full))
+            .find_map(|full| self.follow_alias(section, full))
     }
 
-    fn find(&self, section: Section, full: String) -> Option<String> {
+    fn follow_alias(&self, section: Section, full: String) -> Option<String> {
         if let Some(real) = self.aliases.get(&full).filter(|_| section == Section::Dcs) {
-            return self.find_defined(section, real.clone());
+            return self.keep_defined(section, real.clone());
         }
-        self.find_defined(section, full)
+        self.keep_defined(section, full)
     }
 
-    fn find_defined(&self, section: Section, full: String) -> Option<String> {
+    fn keep_defined(&self, section: Section, full: String) -> Option<String> {
         let key = (section, full);
         self.defined.contains(&key).then_some(key.1)
     }
 
-    /// Returns the file's tree with full names for all that parties may both name.
+    /// Returns the file's tree with all names in [`QUALIFIED_SECTIONS`] replaced by full names.
     pub fn qualify(&self, file: &File, findings: &mut Vec<Finding>) -> Node {
         let mut top = file.top.clone();
         if let Value::Map(sections) = &mut top.value {
@@ -166,7 +171,7 @@
                     continue;
                 };
                 if let Value::Map(entries) = &mut section.node.value {
-                    find_doubles(entries, findings);
+                    report_duplicates(entries, findings);
                     for entry in entries {
                         self.qualify_entry(file, kind, entry, findings);
                     }
@@ -209,7 +214,9 @@
             None => (None, key.as_str()),
         };
         if !is_name(plain) {
-            return Err(format!("{kind} has the name {key:?}, expected {NAME}"));
+            return Err(format!(
+                "{kind} has the name {key:?}, expected {EXPECTED_NAME}"
+            ));
         }
         if let (Some(named), Some(own)) = (party, &file.party)
             && named != own
@@ -222,8 +229,8 @@
             .ok_or_else(|| format!("{kind} {key} refers to nothing"))
     }
 
-    /// Gives the classes of a bound their full names; those that refer to nothing are kept for the
-    /// check of references.
+    /// Replaces the classes of a `floor` or `ceiling` by their full names. Undefined names are kept
+    /// and reported when the configuration is read.
     fn qualify_classes(&self, bounds: &mut Node) {
         if let Value::Map(entries) = &mut bounds.value {
             for entry in entries {
@@ -240,8 +247,9 @@
     Some(&entry.node.value)
 }
 
-/// Trainers have one name in the whole fleet, since callers name them in paths.
-fn find_shared_trainers(file: &File, files: &[File], findings: &mut Vec<Finding>) {
+/// Reports trainers that another party defines too. Trainer names are unique in the whole fleet,
+/// since callers use them in paths.
+fn report_shared_trainers(file: &File, files: &[File], findings: &mut Vec<Finding>) {
     let others = files
         .iter()
         .take_while(|other| other.name != file.name)
@@ -260,7 +268,7 @@
     }
 }
 
-fn find_doubles(entries: &[Entry], findings: &mut Vec<Finding>) {
+fn report_duplicates(entries: &[Entry], findings: &mut Vec<Finding>) {
     for (at, entry) in entries.iter().enumerate() {
         if let Some(first) = entries[..at].iter().find(|other| other.key == entry.key) {
             findings.push(Finding {
--- a/crates/godwitspool-process/src/folder/read.rs
+++ b/crates/godwitspool-process/src/folder/read.rs
@@ -15,12 +15,12 @@
 };
 use crate::yaml::{Entry, Fields, Node, Value};
 
-const MOST_SHARE: u32 = 1_000_000;
-const MOST_SLOTS: u32 = 4_096;
-const MOST_TARGETS: u32 = 100_000;
-const MOST_CONCURRENCY: u32 = 1_000_000;
+const MAX_SHARE: u32 = 1_000_000;
+const MAX_SLOTS: u32 = 4_096;
+const MAX_TARGETS: u32 = 100_000;
+const MAX_CONCURRENCY: u32 = 1_000_000;
 
-/// What a tree says, and what is wrong in it.
+/// A configuration read from a tree, with its findings.
 #[derive(Default)]
 pub(super) struct Draft {
     pub configuration: Configuration,
@@ -28,7 +28,7 @@
     pub places: Places,
 }
 
-/// Where each name of the configuration stands.
+/// The place of each name of the configuration.
 #[derive(Default)]
 pub(super) struct Places(BTreeMap<String, Place>);
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads a tree.
+/// Reads a configuration and its findings from a tree with full names.
 pub(super) fn read(top: &Node, names: &Names) -> Draft {
     let mut fields = Fields::open(top);
     let mut reader = Reader {
@@ -135,13 +135,13 @@
                 .resolve(Section::Classes, class, &entry.place)
                 .is_none()
             {
-                fields.find(&entry.place, format!("class {class} refers to nothing"));
+                fields.report(&entry.place, format!("class {class} refers to nothing"));
             }
-            match whole(&entry.node.value, MOST_TARGETS) {
+            match whole(&entry.node.value, MAX_TARGETS) {
                 Some(targets) => {
                     bounds.insert(ClassName::from(class.as_str()), targets);
                 }
-                None => fields.find(
+                None => fields.report(
                     &entry.node.place,
                     format!(
                         "{key} is {}, expected a number of targets",
@@ -166,9 +166,7 @@
                 .read("kind", "engine or plain", kind)
                 .unwrap_or(default.kind),
             model: fields.name("model").map_or(default.model, ModelName::from),
-            slots: fields
-                .count("slots", 1, MOST_SLOTS)
-                .unwrap_or(default.slots),
+            slots: fields.count("slots", 1, MAX_SLOTS).unwrap_or(default.slots),
         };
         self.finish(fields);
         rules
@@ -184,9 +182,7 @@
             dc: dc.map_or(default.dc, Dc::from),
             scorer: self.service_ref(&mut fields, "scorer").unwrap_or_default(),
             service: self.service_ref(&mut fields, "service").unwrap_or_default(),
-            share: fields
-                .count("share", 1, MOST_SHARE)
-                .unwrap_or(default.share),
+            share: fields.count("share", 1, MAX_SHARE).unwrap_or(default.share),
             staleness_versions: fields
                 .count("staleness", 0, 1_000)
                 .unwrap_or(default.staleness_versions),
@@ -205,16 +201,14 @@
         let mut fields = Fields::open(&entry.node);
         let rules = WorkspaceRules {
             concurrency: fields
-                .count("concurrency", 1, MOST_CONCURRENCY)
+                .count("concurrency", 1, MAX_CONCURRENCY)
                 .unwrap_or(default.concurrency),
             keys: read_keys(&mut fields),
             rate_per_s: fields
                 .read("rate", "a rate, such as 40/s", |value| rate(value, "/s"))
                 .unwrap_or(default.rate_per_s),
             services: self.workspace_services(&mut fields),
-            share: fields
-                .count("share", 1, MOST_SHARE)
-                .unwrap_or(default.share),
+            share: fields.count("share", 1, MAX_SHARE).unwrap_or(default.share),
             unconfirmed_keys: read_unconfirmed(&mut fields).unwrap_or(default.unconfirmed_keys),
         };
         self.finish(fields);
@@ -227,7 +221,7 @@
             let Value::Text(text) = &entry.node.value else {
                 let found = &entry.node.value;
                 let message = format!("service {} is {found}, expected a name", entry.key);
-                fields.find(&entry.node.place, message);
+                fields.report(&entry.node.place, message);
                 continue;
             };
             let service = self.resolve(fields, Section::Services, text, &entry.node.place);
@@ -270,12 +264,10 @@
             None => self
                 .draft
                 .findings
-                .push(nothing(Section::Services, text, &place)),
+                .push(unresolved(Section::Services, text, &place)),
         }
     }
 
-    // ---
-
     fn service_ref(&mut self, fields: &mut Fields<'_>, key: &'static str) -> Option<ServiceName> {
         self.reference(fields, key, Section::Services)
             .map(ServiceName::from)
@@ -292,7 +284,8 @@
         Some(self.resolve(fields, section, &text, &place))
     }
 
-    /// Returns the full name, or the name as it stands once it is found to refer to nothing.
+    /// Returns the full name, or reports a finding and returns the name unchanged if it is not
+    /// defined.
     fn resolve(
         &self,
         fields: &mut Fields<'_>,
@@ -301,7 +294,7 @@
         place: &Place,
     ) -> String {
         self.names.resolve(section, text, place).unwrap_or_else(|| {
-            fields.extend([nothing(section, text, place)]);
+            fields.extend([unresolved(section, text, place)]);
             text.to_owned()
         })
     }
@@ -311,9 +304,7 @@
     }
 }
 
-// ---
-
-fn nothing(section: Section, text: &str, place: &Place) -> Finding {
+fn unresolved(section: Section, text: &str, place: &Place) -> Finding {
     Finding {
         place: place.clone(),
         message: format!("{text} refers to nothing in {}", section.key()),
--- a/crates/godwitspool-process/src/folder/values.rs
+++ b/crates/godwitspool-process/src/folder/values.rs
@@ -1,4 +1,4 @@
-//! Values with their units.
+//! Parsers of values that have a unit or a fixed set of words.
 
 use std::collections::BTreeMap;
 
@@ -53,9 +53,9 @@
     }
 }
 
-pub(super) fn whole(value: &Value, most: u32) -> Option<u32> {
+pub(super) fn whole(value: &Value, max: u32) -> Option<u32> {
     match value {
-        Value::Int(number) => u32::try_from(*number).ok().filter(|number| *number <= most),
+        Value::Int(number) => u32::try_from(*number).ok().filter(|number| *number <= max),
         _ => None,
     }
 }
@@ -67,7 +67,8 @@
     }
 }
 
-/// Reads a cost such as `2.40/h` in thousandths, without rounding.
+/// Parses a cost such as `2.40/h` into thousandths, without rounding. More than three decimals are
+/// an error.
 pub(super) fn cost(value: &Value) -> Option<u64> {
     let Value::Text(text) = value else {
         return None;
--- a/crates/godwitspool-process/src/settings.rs
+++ b/crates/godwitspool-process/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: one small YAML file per process.
+//! Settings: one small YAML file for each daemon.
 
 mod entry;
 mod steward;
@@ -15,10 +15,10 @@
 pub use entry::EntrySettings;
 pub use steward::{PeerSettings, StewardSettings};
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
     /// `key=value` pairs.
     #[default]
--- a/crates/godwitspool-process/src/settings/entry.rs
+++ b/crates/godwitspool-process/src/settings/entry.rs
@@ -31,23 +31,23 @@
 /// ```
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EntrySettings {
-    /// Largest body of a request, in bytes.
+    /// Limit on the body of a request, in bytes: 1 KiB to 64 MiB, 8 MiB by default.
     pub body_bytes: u32,
-    /// Address for callers and trainers, HTTP.
+    /// Listening address for callers and trainers, HTTP.
     pub callers: SocketAddr,
-    /// Data centre.
+    /// Data centre of the host.
     pub dc: Dc,
-    /// Time in which a graceful shutdown ends.
+    /// Limit on the time of a graceful shutdown, 30 s by default.
     pub drain: Millis,
-    /// Largest headers of a request, in bytes.
+    /// Limit on the headers of a request, in bytes: 1 KiB to 1 MiB, 32 KiB by default.
     pub header_bytes: u32,
-    /// Host.
+    /// Name of the host on which the entry runs.
     pub host: HostName,
-    /// Form of log lines.
+    /// Format of log lines, `key-value` by default.
     pub log: LogFormat,
-    /// Address for operators, HTTP.
+    /// Listening address for operators, HTTP.
     pub operators: SocketAddr,
-    /// Address for other entries, TCP.
+    /// Listening address for other entries, TCP.
     pub peers: SocketAddr,
     /// Address of the host's steward, TCP.
     pub steward: SocketAddr,
@@ -76,17 +76,17 @@
     ///
     /// # Errors
     ///
-    /// All that is wrong in the file.
+    /// Returns all findings in the file, or one if it can't be read.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Findings> {
         let path = path.as_ref();
         Self::parse(&path.display().to_string(), &read_file(path)?)
     }
 
-    /// Reads settings from a file's text.
+    /// Parses settings; `file` is the name used in findings.
     ///
     /// # Errors
     ///
-    /// All that is wrong in the text.
+    /// Returns all findings in the text.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let node = parse_tree(file, text)?;
         let mut fields = Fields::open(&node);
@@ -133,19 +133,19 @@
         self
     }
 
-    /// Sets the address for callers and trainers.
+    /// Sets the listening address for callers and trainers.
     pub fn with_callers(mut self, callers: SocketAddr) -> Self {
         self.callers = callers;
         self
     }
 
-    /// Sets the address for operators.
+    /// Sets the listening address for operators.
     pub fn with_operators(mut self, operators: SocketAddr) -> Self {
         self.operators = operators;
         self
     }
 
-    /// Sets the address for other entries.
+    /// Sets the listening address for other entries.
     pub fn with_peers(mut self, peers: SocketAddr) -> Self {
         self.peers = peers;
         self
@@ -157,13 +157,13 @@
         self
     }
 
-    /// Sets the time in which a graceful shutdown ends.
+    /// Sets the limit on the time of a graceful shutdown.
     pub fn with_drain(mut self, drain: Millis) -> Self {
         self.drain = drain;
         self
     }
 
-    /// Sets the largest body of a request.
+    /// Sets the limit on the body of a request, in bytes.
     pub fn with_body_bytes(mut self, body_bytes: u32) -> Self {
         self.body_bytes = body_bytes;
         self
--- a/crates/godwitspool-process/src/settings/steward.rs
+++ b/crates/godwitspool-process/src/settings/steward.rs
@@ -32,42 +32,43 @@
 /// ```
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StewardSettings {
-    /// Data centre.
+    /// Data centre of the host.
     pub dc: Dc,
-    /// Time in which a graceful shutdown ends.
+    /// Limit on the time of a graceful shutdown, 10 s by default.
     pub drain: Millis,
-    /// Most that two hosts' clocks drift apart, in parts of a thousand.
+    /// Limit on the drift between the clocks of two hosts, in parts per thousand: 0 to 500, 10 by
+    /// default.
     pub drift_permille: u32,
     /// Address of the host's entry for other entries, TCP.
     pub entry: SocketAddr,
-    /// Host.
+    /// Name of the host on which the steward runs.
     pub host: HostName,
-    /// Form of log lines.
+    /// Format of log lines, `key-value` by default.
     pub log: LogFormat,
-    /// Address for operators, HTTP.
+    /// Listening address for operators, HTTP.
     pub operators: SocketAddr,
-    /// Hosts known from the start, beside the platform's list.
+    /// Hosts known at the start, in addition to the platform's list.
     pub peers: Vec<PeerSettings>,
-    /// Base URL of the platform.
+    /// Base URL of the platform, without a trailing slash.
     pub platform: String,
-    /// Address for entries and other stewards: TCP calls and UDP gossip.
+    /// Listening address for entries and other stewards: TCP calls and UDP gossip.
     pub steward: SocketAddr,
-    /// Length of a lease's term.
+    /// Term of a lease: 200 ms to 1 min, 3 s by default.
     pub term: Millis,
-    /// Length of a usage window.
+    /// Length of a usage window: 1 s to 1 day, 1 min by default.
     pub window: Millis,
 }
 
-/// A host known from the start.
+/// A host known at the start.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerSettings {
-    /// Data centre.
+    /// Data centre of the host.
     pub dc: Dc,
-    /// Address of its entry for other entries.
+    /// Address of the host's entry for other entries, TCP.
     pub entry: SocketAddr,
-    /// Host.
+    /// Name of the host; each host may be listed once.
     pub host: HostName,
-    /// Address of its steward.
+    /// Address of the host's steward: TCP calls and UDP gossip.
     pub steward: SocketAddr,
 }
 
@@ -96,17 +97,17 @@
     ///
     /// # Errors
     ///
-    /// All that is wrong in the file.
+    /// Returns all findings in the file, or one if it can't be read.
     pub fn load(path: impl AsRef<Path>) -> Result<Self, Findings> {
         let path = path.as_ref();
         Self::parse(&path.display().to_string(), &read_file(path)?)
     }
 
-    /// Reads settings from a file's text.
+    /// Parses settings; `file` is the name used in findings.
     ///
     /// # Errors
     ///
-    /// All that is wrong in the text.
+    /// Returns all findings in the text.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let node = parse_tree(file, text)?;
         let mut fields = Fields::open(&node);
@@ -139,8 +140,9 @@
             drift_permille: fields
                 .count("drift_permille", 0, 500)
                 .unwrap_or(default.drift_permille),
-            term: read_span(fields, "term", MIN_TERM, MAX_TERM).unwrap_or(default.term),
-            window: read_span(fields, "window", MIN_WINDOW, MAX_WINDOW).unwrap_or(default.window),
+            term: read_duration_within(fields, "term", MIN_TERM, MAX_TERM).unwrap_or(default.term),
+            window: read_duration_within(fields, "window", MIN_WINDOW, MAX_WINDOW)
+                .unwrap_or(default.window),
         }
     }
 
@@ -151,13 +153,13 @@
         self
     }
 
-    /// Sets the address for entries and other stewards.
+    /// Sets the listening address for entries and other stewards.
     pub fn with_steward(mut self, steward: SocketAddr) -> Self {
         self.steward = steward;
         self
     }
 
-    /// Sets the address for operators.
+    /// Sets the listening address for operators.
     pub fn with_operators(mut self, operators: SocketAddr) -> Self {
         self.operators = operators;
         self
@@ -175,13 +177,13 @@
         self
     }
 
-    /// Sets the hosts known from the start.
+    /// Sets the hosts known at the start.
     pub fn with_peers(mut self, peers: Vec<PeerSettings>) -> Self {
         self.peers = peers;
         self
     }
 
-    /// Sets the length of a lease's term.
+    /// Sets the term of a lease.
     pub fn with_term(mut self, term: Millis) -> Self {
         self.term = term;
         self
@@ -199,19 +201,19 @@
 const MIN_WINDOW: Millis = Millis(1_000);
 const MAX_WINDOW: Millis = Millis(86_400_000);
 
-fn read_span(
+fn read_duration_within(
     fields: &mut Fields<'_>,
     key: &'static str,
-    least: Millis,
-    most: Millis,
+    min: Millis,
+    max: Millis,
 ) -> Option<Millis> {
     let place = fields.entry(key)?.node.place.clone();
     let span = fields.duration(key)?;
-    if (least..=most).contains(&span) {
+    if (min..=max).contains(&span) {
         return Some(span);
     }
-    let message = format!("{key} is {span}, expected {least} to {most}");
-    fields.find(&place, message);
+    let message = format!("{key} is {span}, expected {min} to {max}");
+    fields.report(&place, message);
     None
 }
 
@@ -234,7 +236,7 @@
         };
         if peers.iter().any(|other| other.host == peer.host) {
             let message = format!("host {} stands twice among the peers", peer.host);
-            fields.find(&node.place, message);
+            fields.report(&node.place, message);
         }
         peers.push(peer);
     }
--- a/crates/godwitspool-process/src/yaml.rs
+++ b/crates/godwitspool-process/src/yaml.rs
@@ -1,10 +1,10 @@
-//! YAML as a tree whose every node knows its place.
+//! YAML parsed into a tree in which every node has its place in the file.
 //!
-//! A serde derive stops at the first mistake; reading a tree lets all mistakes be found in one run.
+//! A serde derive stops at the first mistake; with a tree, all mistakes are found in one run.
 
 mod fields;
 mod node;
 
+pub(crate) use fields::{EXPECTED_NAME, is_name};
 pub use fields::{Fields, parse_duration};
-pub(crate) use fields::{NAME, is_name};
 pub use node::{Entry, Node, Value, parse};
--- a/crates/godwitspool-process/src/yaml/fields.rs
+++ b/crates/godwitspool-process/src/yaml/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of a mapping and collects what is wrong.
+//! Reads the fields of a mapping and collects findings.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,8 @@
 
 use super::{Entry, Node, Value};
 
-/// Reads a mapping's fields one by one; [`Fields::finish`] then names the fields nobody read.
+/// Reads a mapping's fields one by one; [`Fields::finish`] then reports the fields that were not
+/// read.
 #[derive(Debug)]
 pub struct Fields<'a> {
     entries: Vec<&'a Entry>,
@@ -16,7 +17,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Opens a mapping. Anything else, and each key that stands twice, is a finding.
+    /// Opens a mapping. An empty value counts as an empty mapping; any other value is a finding, as
+    /// is each duplicate key.
     pub fn open(node: &'a Node) -> Self {
         let mut fields = Self {
             entries: Vec::new(),
@@ -25,48 +27,49 @@
             place: node.place.clone(),
         };
         match &node.value {
-            Value::Map(entries) => entries.iter().for_each(|entry| fields.enter(entry)),
+            Value::Map(entries) => entries.iter().for_each(|entry| fields.add_entry(entry)),
             Value::Null => {}
-            other => fields.find(&node.place, format!("found {other}, expected a mapping")),
+            other => fields.report(&node.place, format!("found {other}, expected a mapping")),
         }
         fields
     }
 
-    fn enter(&mut self, entry: &'a Entry) {
+    fn add_entry(&mut self, entry: &'a Entry) {
         if let Some(first) = self.entries.iter().find(|e| e.key == entry.key) {
             let line = first.place.line;
             let message = format!("{} stands twice, first in line {line}", entry.key);
-            self.find(&entry.place, message);
+            self.report(&entry.place, message);
         } else {
             self.entries.push(entry);
         }
     }
 
     /// Adds a finding.
-    pub fn find(&mut self, place: &Place, message: impl Into<String>) {
+    pub fn report(&mut self, place: &Place, message: impl Into<String>) {
         self.findings.push(Finding {
             place: place.clone(),
             message: message.into(),
         });
     }
 
-    /// Adds findings made elsewhere.
+    /// Adds findings made elsewhere, such as those of a nested mapping.
     pub fn extend(&mut self, findings: impl IntoIterator<Item = Finding>) {
         self.findings.extend(findings);
     }
 
-    /// Returns where the mapping stands.
+    /// Returns the mapping's place.
     pub fn place(&self) -> &Place {
         &self.place
     }
 
-    /// Returns a field's entry, when it stands in the file.
+    /// Returns a field's entry, or `None` if the mapping doesn't have it.
     pub fn entry(&mut self, key: &'static str) -> Option<&'a Entry> {
         self.known.push(key);
         self.entries.iter().find(|entry| entry.key == key).copied()
     }
 
-    /// Reads a field with a parser that says what it expects.
+    /// Reads a field with a parser. If the parser returns `None`, the finding names the expected
+    /// values as `expected`.
     pub fn read<T>(
         &mut self,
         key: &'static str,
@@ -77,28 +80,28 @@
         let value = parse(&entry.node.value);
         if value.is_none() {
             let message = format!("{key} is {}, expected {expected}", entry.node.value);
-            self.find(&entry.node.place, message);
+            self.report(&entry.node.place, message);
         }
         value
     }
 
-    /// Names a field that must stand in the file.
+    /// Reports a required field that is missing, and returns `value` unchanged.
     pub fn require<T>(&mut self, key: &'static str, value: Option<T>) -> Option<T> {
         if value.is_none() && !self.entries.iter().any(|entry| entry.key == key) {
             let place = self.place.clone();
-            self.find(&place, format!("{key} is missing"));
+            self.report(&place, format!("{key} is missing"));
         }
         value
     }
 
-    /// Reads a name: a string that is not empty and has no space or slash.
+    /// Reads a name: a non-empty string without spaces, control characters or slashes.
     pub fn name(&mut self, key: &'static str) -> Option<&'a str> {
         let entry = self.entry(key)?;
         match &entry.node.value {
             Value::Text(text) if is_name(text) => Some(text),
             other => {
-                let message = format!("{key} is {other}, expected {NAME}");
-                self.find(&entry.node.place, message);
+                let message = format!("{key} is {other}, expected {EXPECTED_NAME}");
+                self.report(&entry.node.place, message);
                 None
             }
         }
@@ -120,26 +123,26 @@
         })
     }
 
-    /// Reads a whole number within bounds.
-    pub fn count(&mut self, key: &'static str, least: u32, most: u32) -> Option<u32> {
-        let expected = format!("a whole number from {least} to {most}");
+    /// Reads a whole number from `min` to `max`, inclusive.
+    pub fn count(&mut self, key: &'static str, min: u32, max: u32) -> Option<u32> {
+        let expected = format!("a whole number from {min} to {max}");
         self.read(key, &expected, |value| match value {
             Value::Int(number) => u32::try_from(*number)
                 .ok()
-                .filter(|number| (least..=most).contains(number)),
+                .filter(|number| (min..=max).contains(number)),
             _ => None,
         })
     }
 
     /// Reads a duration with its unit.
     pub fn duration(&mut self, key: &'static str) -> Option<Millis> {
-        self.read(key, DURATION, |value| match value {
+        self.read(key, EXPECTED_DURATION, |value| match value {
             Value::Text(text) => parse_duration(text),
             _ => None,
         })
     }
 
-    /// Reads an address by IP number.
+    /// Reads a socket address with a numeric IP address.
     pub fn address(&mut self, key: &'static str) -> Option<SocketAddr> {
         let expected = "an IP number and a port, such as 10.0.0.1:7000";
         self.read(key, expected, |value| match value {
@@ -148,7 +151,7 @@
         })
     }
 
-    /// Reads the items of a list.
+    /// Reads the items of a list; a missing or empty field has none.
     pub fn list(&mut self, key: &'static str) -> &'a [Node] {
         let Some(entry) = self.entry(key) else {
             return &[];
@@ -158,13 +161,13 @@
             Value::Null => &[],
             other => {
                 let message = format!("{key} is {other}, expected a list");
-                self.find(&entry.node.place, message);
+                self.report(&entry.node.place, message);
                 &[]
             }
         }
     }
 
-    /// Reads the entries of a mapping.
+    /// Reads the entries of a mapping; a missing or empty field has none.
     pub fn map(&mut self, key: &'static str) -> &'a [Entry] {
         let Some(entry) = self.entry(key) else {
             return &[];
@@ -174,27 +177,27 @@
             Value::Null => &[],
             other => {
                 let message = format!("{key} is {other}, expected a mapping");
-                self.find(&entry.node.place, message);
+                self.report(&entry.node.place, message);
                 &[]
             }
         }
     }
 
-    /// Returns the findings, with one for each field that is not known.
+    /// Returns the findings, including one for each field that was not read.
     pub fn finish(mut self) -> Vec<Finding> {
         let known = self.known.join(", ");
         for entry in std::mem::take(&mut self.entries) {
             if !self.known.contains(&entry.key.as_str()) {
                 let message = format!("unknown key {}, expected one of: {known}", entry.key);
-                self.find(&entry.place, message);
+                self.report(&entry.place, message);
             }
         }
         self.findings
     }
 }
 
-const DURATION: &str = "a duration with its unit, such as 500ms, 3s, 7min or 1h";
-pub(crate) const NAME: &str = "a name without spaces or slashes";
+const EXPECTED_DURATION: &str = "a duration with its unit, such as 500ms, 3s, 7min or 1h";
+pub(crate) const EXPECTED_NAME: &str = "a name without spaces or slashes";
 
 pub(crate) fn is_name(text: &str) -> bool {
     !text.is_empty()
--- a/crates/godwitspool-process/src/yaml/node.rs
+++ b/crates/godwitspool-process/src/yaml/node.rs
@@ -1,4 +1,4 @@
-//! The tree and its parser.
+//! The YAML tree and its parser.
 
 use std::fmt;
 
@@ -12,29 +12,29 @@
     options::{DuplicateKeyPolicy, MergeKeyPolicy},
 };
 
-/// A node with its place.
+/// A node of the tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Where it stands.
+    /// File, line and column where the value begins.
     pub place: Place,
-    /// What it is.
+    /// Parsed value; its items or entries have places of their own.
     pub value: Value,
 }
 
-/// What a node is.
+/// The value of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// True or false.
+    /// `true` or `false`; other spellings such as `yes` are strings.
     Bool(bool),
-    /// A number with a fraction.
+    /// A number with a fraction, or an integer above [`i64::MAX`].
     Float(f64),
-    /// A whole number.
+    /// An integer.
     Int(i64),
     /// A sequence.
     List(Vec<Node>),
-    /// A mapping, in the order of the file.
+    /// A mapping in the order of the file; keys may repeat.
     Map(Vec<Entry>),
-    /// Nothing.
+    /// An empty value or `null`.
     Null,
     /// A string.
     Text(String),
@@ -43,11 +43,11 @@
 /// An entry of a mapping.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Key.
+    /// Key of the entry.
     pub key: String,
-    /// Place of the key.
+    /// Place of the key; that of the value is in `node`.
     pub place: Place,
-    /// Value.
+    /// Value of the entry.
     pub node: Node,
 }
 
@@ -69,7 +69,7 @@
 ///
 /// # Errors
 ///
-/// One finding, when the text is no YAML.
+/// Returns one finding if the text is not valid YAML.
 ///
 /// ```
 /// use godwitspool_process::yaml::{Value, parse};
@@ -134,9 +134,7 @@
     }
 }
 
-// ---
-
-/// What serde hands over, before places are set.
+/// The tree as serde deserializes it, before places are set.
 enum Raw {
     Bool(bool),
     Float(f64),
--- a/crates/godwitspool-process/tests/folder.rs
+++ b/crates/godwitspool-process/tests/folder.rs
@@ -1,4 +1,4 @@
-//! The operators' folder: joining, names of parties, and findings with their places.
+//! The operators' folder: joining files, names of parties, and findings with their places.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn clashing_names_stay_apart() {
+fn equal_names_of_two_parties_stay_separate() {
     let other = STUDIO
         .replace("party: studio", "party: shop")
         .replace("motif:", "border:");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_shared_name_does_not_hide_a_partys_own() {
+fn a_partys_own_name_takes_precedence_over_a_shared_one() {
     let shared = "services: {desk: {kind: plain, slots: 3}}";
     let configuration = join_texts(&[FLEET, STUDIO, shared]).unwrap().configuration;
     let workspace = &configuration.workspaces["studio/weddings"];
@@ -103,22 +103,22 @@
 }
 
 #[test]
-fn the_later_file_wins_and_it_is_said_over_whom() {
+fn the_later_file_wins_and_the_override_names_both_places() {
     let season = "party: studio\nworkspaces: {weddings: {rate: 90/s, concurrency: 64}}";
     let folder = join_texts(&[FLEET, STUDIO, season]).unwrap();
     assert_eq!(
         folder.configuration.workspaces["studio/weddings"].rate_per_s,
         90
     );
-    let said: Vec<_> = folder.overrides.iter().map(ToString::to_string).collect();
+    let lines: Vec<_> = folder.overrides.iter().map(ToString::to_string).collect();
     assert_eq!(
-        said,
+        lines,
         ["workspaces.studio/weddings.rate: 2.yaml:2:31 wins over 1.yaml:10:20"]
     );
 }
 
 #[test]
-fn the_order_of_names_decides_not_the_order_of_reading() {
+fn files_are_merged_in_the_order_of_their_names() {
     let mut sources = files(&[
         FLEET,
         STUDIO,
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn findings_of_all_files_come_together_in_order() {
+fn findings_of_all_files_are_returned_in_order() {
     let one = "party: one\nservices: {a: {kind: bare}}\n";
     let two = "party: two\nworkspaces: {w: {rate: 3, services: {a: b}}}\nmore: 1\n";
     let findings = join_texts(&[FLEET, STUDIO, one, two]).unwrap_err();
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_value_that_loses_is_checked_too() {
+fn a_replaced_value_is_checked_too() {
     let wrong = "party: studio\nworkspaces: {weddings: {rate: fast}}";
     let right = "party: studio\nworkspaces: {weddings: {rate: 9/s}}";
     let findings = join_texts(&[FLEET, STUDIO, wrong, right]).unwrap_err();
@@ -262,8 +262,6 @@
     assert!(findings.to_string().contains("no .yaml file"), "{findings}");
 }
 
-// ---
-
 /// Values of workspaces over several files: (workspace, field, value).
 fn settings() -> impl Strategy<Value = Vec<Vec<(u8, u8, u32)>>> {
     let setting = (0..3u8, 0..3u8, 1..50u32);
--- a/crates/godwitspool-process/tests/settings.rs
+++ b/crates/godwitspool-process/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is read, and what is found wrong with its place.
+//! Settings files: parsed values, and findings with their places.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -30,7 +30,7 @@
 ";
 
 #[test]
-fn whole_files_are_read() {
+fn complete_files_are_read() {
     let entry = EntrySettings::parse("e.yaml", ENTRY).unwrap();
     assert_eq!(entry.log, LogFormat::Json);
     assert_eq!(entry.drain, Millis(120_000));
@@ -51,7 +51,7 @@
     "e.yaml:9:13: body_bytes is \"3s\", expected a whole number"
 )]
 #[case::twice("dc: kicukiro", "e.yaml:9:1: dc stands twice, first in line 2")]
-fn an_added_line_is_found_with_its_place(#[case] line: &str, #[case] expected: &str) {
+fn a_wrong_additional_line_is_a_finding_with_its_place(#[case] line: &str, #[case] expected: &str) {
     let findings = EntrySettings::parse("e.yaml", &format!("{ENTRY}{line}\n")).unwrap_err();
     assert_eq!(findings.len(), 1, "{findings}");
     assert!(findings.to_string().starts_with(expected), "{findings}");
@@ -76,7 +76,7 @@
 )]
 #[case::missing("dc: nyarugenge\n", "", "1:1: dc is missing")]
 #[case::list("dc: nyarugenge", "dc: [a]", "2:5: dc is a list, expected a name")]
-fn a_changed_line_is_found_with_its_place(
+fn a_wrong_line_is_a_finding_with_its_place(
     #[case] good: &str,
     #[case] bad: &str,
     #[case] expected: &str,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn all_findings_come_together_in_order() {
+fn all_findings_are_returned_in_order() {
     let text = "host: a b\ncallers: 1\nextra: 1\n";
     let findings = EntrySettings::parse("e.yaml", text).unwrap_err();
     let lines: Vec<_> = findings.iter().map(|finding| finding.place.line).collect();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_peer_that_stands_twice_is_found() {
+fn a_duplicate_peer_is_a_finding() {
     let again = "  - {host: kicukiro-1, dc: gasabo, entry: 127.0.0.3:1, steward: 127.0.0.3:2}\n";
     let findings = StewardSettings::parse("s.yaml", &format!("{STEWARD}{again}")).unwrap_err();
     assert!(
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_term_out_of_bounds_is_found() {
+fn a_term_out_of_bounds_is_a_finding() {
     let findings = StewardSettings::parse("s.yaml", &format!("{STEWARD}term: 1ms\n")).unwrap_err();
     assert!(
         findings
