--- a/crates/godwitspool-process/src/membership/core.rs
+++ b/crates/godwitspool-process/src/membership/core.rs
@@ -131,7 +131,7 @@
         let remote = self
             .table
             .remote()
-            .filter(|record| self.is_heard(&record.dc, now));
+            .filter(|record| self.has_contact(&record.dc, now));
         let records = self.table.local().chain(remote).chain([&self.own]);
         let mut members: Vec<_> = records
             .map(|record| Member {
@@ -158,8 +158,8 @@
         &self.own
     }
 
-    /// Returns the other data centres from which nothing was received within
-    /// [`MembershipRules::remote_timeout`].
+    /// Returns the cut-off data centres: those with which no host of the local data centre had
+    /// contact within [`MembershipRules::remote_timeout`].
     pub fn cut_off(&self) -> &BTreeSet<Dc> {
         &self.cut_off_dcs
     }
--- a/crates/godwitspool-process/src/membership/remote.rs
+++ b/crates/godwitspool-process/src/membership/remote.rs
@@ -240,19 +240,19 @@
     }
 
     /// Returns whether the last contact with a data centre is recent enough that it is not cut off.
-    pub(super) fn is_heard(&self, dc: &Dc, now: Millis) -> bool {
+    pub(super) fn has_contact(&self, dc: &Dc, now: Millis) -> bool {
         let contact = self.last_contact.get(dc);
         contact.is_some_and(|at| now - *at < self.rules.remote_timeout)
     }
 
     pub(super) fn update_cut_off(&mut self, now: Millis, actions: &mut Vec<MembershipAction>) {
         let dcs = self.other_dcs();
-        let unheard = dcs
+        let unreachable = dcs
             .into_iter()
-            .filter(|dc| !self.is_heard(dc, now))
+            .filter(|dc| !self.has_contact(dc, now))
             .collect();
-        if self.cut_off_dcs != unheard {
-            self.cut_off_dcs = unheard;
+        if self.cut_off_dcs != unreachable {
+            self.cut_off_dcs = unreachable;
             actions.push(MembershipAction::Changed);
         }
     }
