--- a/crates/godwitspool-process/src/log_queue.rs
+++ b/crates/godwitspool-process/src/log_queue.rs
@@ -217,7 +217,7 @@
 fn suppressed_line(since_epoch: Duration, kind: &str, count: u32) -> String {
     let (seconds, millis) = (since_epoch.as_secs(), since_epoch.subsec_millis());
     format!(
-        "time={seconds}.{millis:03} level=warn message=\"lines suppressed\" kind={kind:?} count={count}"
+        "time={seconds}.{millis:03} level=warn message=\"lines left out\" kind={kind:?} count={count}"
     )
 }
 
