--- a/crates/godwitspool-entry/src/connection/answer.rs
+++ b/crates/godwitspool-entry/src/connection/answer.rs
@@ -99,14 +99,14 @@
 /// The answer to one request: a refusal while nothing has been sent, else a stream that ends with
 /// the terminator or an error event.
 #[derive(Debug)]
-pub(crate) struct Answering {
+pub(crate) struct Responder {
     id: RequestId,
     request: Option<Request>,
     shared: Arc<Shared>,
     writer: Option<EventWriter>,
 }
 
-impl Answering {
+impl Responder {
     pub(crate) fn new(request: Request, id: RequestId, shared: Arc<Shared>) -> Self {
         Self {
             id,
@@ -138,7 +138,7 @@
 
     /// Refuses the request; a stream that has begun ends with an error event and no terminator.
     pub(crate) fn refuse(&mut self, refusal: &Refusal) {
-        self.shared.serving.refused(self.id, refusal);
+        self.shared.serving.record_refusal(self.id, refusal);
         if let Some(request) = self.request.take() {
             refuse_as(request, refusal, self.id);
         } else if let Some(writer) = self.writer.take()
--- a/crates/godwitspool-entry/src/connection/callers.rs
+++ b/crates/godwitspool-entry/src/connection/callers.rs
@@ -77,7 +77,7 @@
         answer::refuse(request, &Refusal::from(Reason::QueueFull));
         return;
     }
-    let guard = shared.enter_request();
+    let guard = shared.track_request();
     let shared = Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("request".to_owned())
--- a/crates/godwitspool-entry/src/process/billing.rs
+++ b/crates/godwitspool-entry/src/process/billing.rs
@@ -48,7 +48,7 @@
 
 /// What a caller got of one request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Got {
+pub(crate) struct AnswerUsage {
     /// Tokens that were sent to the caller.
     pub(crate) tokens: u64,
     pub(crate) request: RequestId,
@@ -74,7 +74,7 @@
     /// until one is.
     ///
     /// A request without a workspace, on an open route, is nobody's to pay.
-    pub(crate) fn count(&self, shared: &Shared, caller: &Caller, got: Got) {
+    pub(crate) fn count(&self, shared: &Shared, caller: &Caller, got: AnswerUsage) {
         if caller.workspace.as_str().is_empty() {
             return;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Counts what a caller got, without a wait, and returns the record's sequence number.
-    pub(crate) fn add(&self, shared: &Shared, caller: &Caller, got: Got) -> u64 {
+    pub(crate) fn add(&self, shared: &Shared, caller: &Caller, got: AnswerUsage) -> u64 {
         let mut state = self.lock();
         state.next += 1;
         let sequence = state.next;
--- a/crates/godwitspool-entry/src/process/entry.rs
+++ b/crates/godwitspool-entry/src/process/entry.rs
@@ -20,7 +20,7 @@
         peers,
     },
     process::{operators, shared::Shared, upkeep},
-    request::keyed,
+    request::idempotency,
     rollout::dispatch,
     version::feed,
 };
@@ -116,7 +116,7 @@
         while self.shared.in_progress() > 0 && waits() {
             thread::sleep(DRAIN_POLL);
         }
-        keyed::hand_over(&self.shared);
+        idempotency::hand_over(&self.shared);
         self.shared.in_progress()
     }
 }
--- a/crates/godwitspool-entry/src/process/serving.rs
+++ b/crates/godwitspool-entry/src/process/serving.rs
@@ -14,8 +14,8 @@
     request::{
         authorize::Keys,
         dispatch::Dispatch,
+        idempotency::IdempotencyKeys,
         journal::{Journal, Step},
-        keyed::Keyed,
         peers,
         quota::Quota,
         refusal::Refusal,
@@ -29,7 +29,7 @@
     clock: Clock,
     pub(crate) dispatch: Dispatch,
     pub(crate) journal: Journal,
-    pub(crate) keyed: Keyed,
+    pub(crate) idempotency: IdempotencyKeys,
     pub(crate) keys: Arc<Keys>,
     members: RwLock<Arc<Vec<HostName>>>,
     pub(crate) metrics: Arc<Metrics>,
@@ -48,7 +48,7 @@
             clock: Clock::start(),
             dispatch: Dispatch::new(settings.dc.clone()),
             journal: Journal::default(),
-            keyed: Keyed::default(),
+            idempotency: IdempotencyKeys::default(),
             keys: Arc::default(),
             members: RwLock::new(Arc::new(vec![settings.host.clone()])),
             metrics: Arc::new(metrics),
@@ -65,25 +65,25 @@
     }
 
     /// Adds a step to the journal.
-    pub(crate) fn note(&self, id: RequestId, step: Step) {
+    pub(crate) fn record_step(&self, id: RequestId, step: Step) {
         self.journal.add(id, step, self.now());
     }
 
     /// Counts and journals a refusal.
-    pub(crate) fn refused(&self, id: RequestId, refusal: &Refusal) {
+    pub(crate) fn record_refusal(&self, id: RequestId, refusal: &Refusal) {
         self.refusals.count(refusal.code());
         let step = Step::Refused {
             ran: refusal.ran().as_str(),
             reason: refusal.code().to_owned(),
         };
-        self.note(id, step);
+        self.record_step(id, step);
     }
 
     // -----------------------------------------------------------------------
     // Other hosts
 
     /// Takes the members of a view and returns them as they were before.
-    pub(crate) fn learn_members(&self, view: &View, own: &HostName) -> Arc<Vec<HostName>> {
+    pub(crate) fn update_members(&self, view: &View, own: &HostName) -> Arc<Vec<HostName>> {
         let staying = view.members.iter().filter(|member| !member.leaving);
         let mut names: Vec<HostName> = staying.map(|member| member.host.clone()).collect();
         if !names.contains(own) {
--- a/crates/godwitspool-entry/src/process/shared.rs
+++ b/crates/godwitspool-entry/src/process/shared.rs
@@ -90,23 +90,23 @@
     }
 
     /// Counts a request on a target until the guard is dropped.
-    pub(crate) fn enter_target(self: &Arc<Self>, target: &TargetName) -> OnTarget {
+    pub(crate) fn track_target(self: &Arc<Self>, target: &TargetName) -> TargetGuard {
         let id = self.serving.dispatch.begin(target);
-        self.enter_chosen(target, id)
+        self.track_assigned(target, id)
     }
 
     /// Counts a request on a target whose load it counts already, until the guard is dropped.
-    pub(crate) fn enter_chosen(
+    pub(crate) fn track_assigned(
         self: &Arc<Self>,
         target: &TargetName,
         id: Option<TargetId>,
-    ) -> OnTarget {
+    ) -> TargetGuard {
         let mut counts = self
             .in_flight
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         *counts.entry(target.clone()).or_insert(0) += 1;
-        OnTarget {
+        TargetGuard {
             id,
             shared: Arc::clone(self),
             target: target.clone(),
@@ -114,9 +114,9 @@
     }
 
     /// Counts a caller's request until the guard is dropped.
-    pub(crate) fn enter_request(self: &Arc<Self>) -> InProgress {
+    pub(crate) fn track_request(self: &Arc<Self>) -> RequestGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
-        InProgress {
+        RequestGuard {
             shared: Arc::clone(self),
         }
     }
@@ -157,13 +157,13 @@
 
 /// Counts a request on a target while it lives.
 #[derive(Debug)]
-pub(crate) struct OnTarget {
+pub(crate) struct TargetGuard {
     id: Option<TargetId>,
     shared: Arc<Shared>,
     target: TargetName,
 }
 
-impl Drop for OnTarget {
+impl Drop for TargetGuard {
     fn drop(&mut self) {
         let mut counts = self
             .shared
@@ -182,11 +182,11 @@
 
 /// Counts a caller's request while it lives.
 #[derive(Debug)]
-pub(crate) struct InProgress {
+pub(crate) struct RequestGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for InProgress {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.shared.in_progress.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/godwitspool-entry/src/process/upkeep.rs
+++ b/crates/godwitspool-entry/src/process/upkeep.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     process::{billing, demand, serving, shared::Shared},
-    request::{keyed, quota},
+    request::{idempotency, quota},
 };
 
 const LOOK_PAUSE: Duration = Duration::from_millis(20);
@@ -58,7 +58,7 @@
         } else if !Arc::ptr_eq(&view, &seen) {
             shared.serving.keys.confirm(Millis(view.age_ms), now);
         }
-        shared.serving.keys.cut_withdrawn(now);
+        shared.serving.keys.cancel_withdrawn(now);
         shared.serving.dispatch.tick(now);
         seen = view;
         thread::sleep(LOOK_PAUSE);
@@ -68,7 +68,7 @@
 fn learn(shared: &Arc<Shared>, view: &View, seen: &View) {
     shared.serving.keys.learn(view, shared.serving.now());
     shared.serving.dispatch.learn(view);
-    let before = shared.serving.learn_members(view, &shared.settings.host);
+    let before = shared.serving.update_members(view, &shared.settings.host);
     let members = shared.serving.members();
     if before != members {
         let left: BTreeSet<&HostName> = seen
@@ -85,7 +85,7 @@
             !members.contains(host) && !left.contains(host) && !leaves
         };
         let lost: Vec<HostName> = before.iter().filter(lost).cloned().collect();
-        keyed::learn_members(shared, members.to_vec(), &lost);
+        idempotency::update_members(shared, members.to_vec(), &lost);
     }
 }
 
--- a/crates/godwitspool-entry/src/request/tries.rs
+++ b/crates/godwitspool-entry/src/request/admitted.rs
@@ -7,7 +7,7 @@
 use godwitspool_types::Millis;
 
 use crate::{
-    process::shared::{OnTarget, Shared},
+    process::shared::{Shared, TargetGuard},
     request::{
         dispatch::Assignment,
         journal::Step,
@@ -62,9 +62,9 @@
 
 /// A request that has been let through, on its present target.
 #[derive(Debug)]
-pub(crate) struct Tries {
+pub(crate) struct AdmittedRequest {
     _counted: Counted,
-    guard: Option<OnTarget>,
+    guard: Option<TargetGuard>,
     pub(crate) on: Assignment,
     shared: Arc<Shared>,
     started: Millis,
@@ -72,7 +72,7 @@
     pub(crate) work: Work,
 }
 
-impl Tries {
+impl AdmittedRequest {
     /// Lets a request through limits, quarantine and queue.
     pub(crate) fn begin(shared: &Arc<Shared>, mut work: Work) -> Result<Self, Refusal> {
         let arrived = shared.serving.now();
@@ -91,8 +91,10 @@
         work.need.tried = before;
         let started = shared.serving.now();
         let waited_ms = (started - arrived).0;
-        shared.serving.note(work.id, Step::Admitted { waited_ms });
-        let mut tries = Self {
+        shared
+            .serving
+            .record_step(work.id, Step::Admitted { waited_ms });
+        let mut admitted = Self {
             _counted: counted,
             guard: None,
             on,
@@ -101,8 +103,8 @@
             trial,
             work,
         };
-        tries.enter();
-        Ok(tries)
+        admitted.enter();
+        Ok(admitted)
     }
 
     /// Records that the present target answered.
@@ -122,7 +124,7 @@
             cause: failed.cause,
             reason: failed.reason.code().to_owned(),
         };
-        serving.note(self.work.id, step);
+        serving.record_step(self.work.id, step);
         if let Some(health) = failed.health {
             let now = serving.now();
             serving.dispatch.record(&self.work, &self.on, health, now);
@@ -155,8 +157,8 @@
     /// A target that broke off may have crashed by one of the requests in flight on it.
     fn blame(&mut self, reason: RetryReason) {
         if matches!(reason, RetryReason::StreamBroken | RetryReason::TargetLost) {
-            let flying = self.shared.serving.dispatch.flying(self.on.id);
-            suspicion::crashed(&self.shared, self.on.id, &self.on.target, &flying);
+            let in_flight = self.shared.serving.dispatch.in_flight(self.on.id);
+            suspicion::crashed(&self.shared, self.on.id, &self.on.target, &in_flight);
             self.trial = false;
         } else if std::mem::take(&mut self.trial) {
             suspicion::leave(&self.shared, self.work.need.fingerprint, false);
@@ -190,27 +192,35 @@
     fn enter(&mut self) {
         if self.trial {
             let print = self.work.need.fingerprint;
-            self.shared.serving.note(self.work.id, Step::Trial);
-            self.shared.serving.suspicion.note_trial(self.on.id, print);
+            self.shared.serving.record_step(self.work.id, Step::Trial);
+            self.shared
+                .serving
+                .suspicion
+                .record_trial(self.on.id, print);
         }
-        let guard = self.shared.enter_chosen(&self.on.target, Some(self.on.id));
+        let guard = self
+            .shared
+            .track_assigned(&self.on.target, Some(self.on.id));
         self.guard = Some(guard);
         let step = Step::Sent {
             attempt: self.work.attempts.retried + self.work.attempts.resumed,
             target: self.on.target.clone(),
         };
-        self.shared.serving.note(self.work.id, step);
+        self.shared.serving.record_step(self.work.id, step);
     }
 
     fn leave_target(&mut self) {
         if self.guard.take().is_some() {
             let print = self.work.need.fingerprint;
-            self.shared.serving.dispatch.land(self.on.id, print);
+            self.shared
+                .serving
+                .dispatch
+                .remove_in_flight(self.on.id, print);
         }
     }
 }
 
-impl Drop for Tries {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         self.leave_target();
         if self.trial {
--- a/crates/godwitspool-entry/src/request/authorize.rs
+++ b/crates/godwitspool-entry/src/request/authorize.rs
@@ -86,7 +86,7 @@
     }
 
     /// Cuts the open requests whose key doesn't hold any more.
-    pub(crate) fn cut_withdrawn(&self, now: Millis) {
+    pub(crate) fn cancel_withdrawn(&self, now: Millis) {
         let known = self.known();
         let open = self.open_requests();
         let listed: Vec<_> = open.iter().map(|(&id, open)| (id, open.digest)).collect();
@@ -117,7 +117,7 @@
 
 impl OpenGuard {
     /// Tells whether the request's key was withdrawn.
-    pub(crate) fn is_cut(&self) -> bool {
+    pub(crate) fn is_withdrawn(&self) -> bool {
         self.cut.load(Ordering::Acquire)
     }
 }
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -38,12 +38,12 @@
 
 /// Paces of the reads from one target.
 #[derive(Clone, Debug)]
-pub(crate) struct Paces {
+pub(crate) struct IdleTimeouts {
     pub(crate) first: Pace,
     pub(crate) next: Pace,
 }
 
-impl Default for Paces {
+impl Default for IdleTimeouts {
     fn default() -> Self {
         Self {
             first: Pace::new(Wait::First),
@@ -66,8 +66,8 @@
     admissions: BTreeMap<ServiceName, Admission>,
     budgets: BTreeMap<Workspace, RetryBudget>,
     classes: BTreeMap<ClassName, RetryBudget>,
-    flying: HashMap<TargetId, Vec<u64>>,
-    paces: HashMap<TargetName, Paces>,
+    in_flight: HashMap<TargetId, Vec<u64>>,
+    idle_timeouts: HashMap<TargetName, IdleTimeouts>,
     targets: Targets,
     waiters: HashMap<RequestId, Waiter>,
 }
@@ -83,8 +83,8 @@
             admissions: BTreeMap::new(),
             budgets: BTreeMap::new(),
             classes: BTreeMap::new(),
-            flying: HashMap::new(),
-            paces: HashMap::new(),
+            in_flight: HashMap::new(),
+            idle_timeouts: HashMap::new(),
             targets: Targets::new(dc),
             waiters: HashMap::new(),
         }))
@@ -107,7 +107,7 @@
             if !view.targets.iter().any(|entry| entry.target == name) {
                 state.targets.remove(&name);
                 state.addresses.remove(&name);
-                state.paces.remove(&name);
+                state.idle_timeouts.remove(&name);
             }
         }
         for entry in &view.targets {
@@ -129,13 +129,19 @@
     }
 
     /// Returns the paces of a target's reads.
-    pub(crate) fn paces(&self, target: &TargetName) -> Paces {
-        self.lock().paces.get(target).cloned().unwrap_or_default()
+    pub(crate) fn idle_timeouts(&self, target: &TargetName) -> IdleTimeouts {
+        self.lock()
+            .idle_timeouts
+            .get(target)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Keeps the paces that a stream has shown.
-    pub(crate) fn set_paces(&self, target: &TargetName, paces: Paces) {
-        self.lock().paces.insert(target.clone(), paces);
+    pub(crate) fn set_idle_timeouts(&self, target: &TargetName, idle_timeouts: IdleTimeouts) {
+        self.lock()
+            .idle_timeouts
+            .insert(target.clone(), idle_timeouts);
     }
 
     // -----------------------------------------------------------------------
@@ -223,21 +229,21 @@
     }
 
     /// Counts a fingerprint off a target.
-    pub(crate) fn land(&self, id: TargetId, print: u64) {
+    pub(crate) fn remove_in_flight(&self, id: TargetId, print: u64) {
         let mut state = self.lock();
-        if let Some(prints) = state.flying.get_mut(&id) {
+        if let Some(prints) = state.in_flight.get_mut(&id) {
             if let Some(index) = prints.iter().position(|other| *other == print) {
                 prints.swap_remove(index);
             }
             if prints.is_empty() {
-                state.flying.remove(&id);
+                state.in_flight.remove(&id);
             }
         }
     }
 
     /// Returns the fingerprints of this entry's requests in flight on a target.
-    pub(crate) fn flying(&self, id: TargetId) -> Vec<u64> {
-        self.lock().flying.get(&id).cloned().unwrap_or_default()
+    pub(crate) fn in_flight(&self, id: TargetId) -> Vec<u64> {
+        self.lock().in_flight.get(&id).cloned().unwrap_or_default()
     }
 
     /// Records how an attempt went.
@@ -355,7 +361,7 @@
         let (class, target) = (facts.class.clone(), facts.target.clone());
         let address = *self.addresses.get(&target)?;
         self.targets.begin(id);
-        self.flying.entry(id).or_default().push(need.fingerprint);
+        self.in_flight.entry(id).or_default().push(need.fingerprint);
         Some(Assignment {
             address,
             class,
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -11,14 +11,14 @@
 use tiny_http::Request;
 
 use crate::{
-    connection::answer::Answering,
-    process::{billing::Got, shared::Shared},
+    connection::answer::Responder,
+    process::{billing::AnswerUsage, shared::Shared},
     request::{
+        admitted::{AdmittedRequest, Failed},
         authorize::{self, OpenGuard},
-        dispatch::Paces,
+        dispatch::IdleTimeouts,
         journal::Step,
         refusal::Refusal,
-        tries::{Failed, Tries},
         work::{self, Work},
     },
 };
@@ -29,17 +29,17 @@
 pub(crate) fn handle(mut request: Request, shared: &Arc<Shared>) {
     let id = RequestId::random();
     let prepared = prepare(&mut request, shared, id);
-    let mut answering = Answering::new(request, id, Arc::clone(shared));
+    let mut responder = Responder::new(request, id, Arc::clone(shared));
     let ending = prepared.and_then(|prepared| {
-        let tries = Tries::begin(shared, prepared.work.clone())?;
+        let admitted = AdmittedRequest::begin(shared, prepared.work.clone())?;
         let mut generation = Generation {
-            answering: &mut answering,
+            responder: &mut responder,
             generate: prepared.generate,
             open: prepared.open,
             shared: Arc::clone(shared),
             span: prepared.span,
             stitch: Stitch::default(),
-            tries,
+            admitted,
         };
         let ending = generation.run();
         generation.bill(&ending);
@@ -47,8 +47,8 @@
     });
     match ending {
         Ok(Ending::Left) => {}
-        Ok(Ending::Whole) => answering.finish(),
-        Err(refusal) => answering.refuse(&refusal),
+        Ok(Ending::Whole) => responder.finish(),
+        Err(refusal) => responder.refuse(&refusal),
     }
 }
 
@@ -79,7 +79,7 @@
     let alias = generate.model.as_str().into();
     let caller = serving.keys.check(digest.as_ref(), &alias, now)?;
     let open = serving.keys.open(id, digest);
-    serving.note(
+    serving.record_step(
         id,
         Step::Caller {
             service: caller.service.to_string(),
@@ -141,13 +141,13 @@
 
 /// A generation under way.
 struct Generation<'a> {
-    answering: &'a mut Answering,
+    responder: &'a mut Responder,
     generate: Generate,
     open: OpenGuard,
     shared: Arc<Shared>,
     span: Millis,
     stitch: Stitch,
-    tries: Tries,
+    admitted: AdmittedRequest,
 }
 
 impl Generation<'_> {
@@ -156,11 +156,11 @@
         loop {
             match self.attempt(attempt) {
                 Ended::Whole => {
-                    self.tries.answered();
+                    self.admitted.answered();
                     let tokens = self.stitch.tokens().len() as u32;
                     self.shared
                         .serving
-                        .note(self.tries.work.id, Step::Whole { tokens });
+                        .record_step(self.admitted.work.id, Step::Whole { tokens });
                     return Ok(Ending::Whole);
                 }
                 Ended::Left => return Ok(Ending::Left),
@@ -175,9 +175,9 @@
                 }
                 Ended::Failed(failed) => {
                     if !self.stitch.tokens().is_empty() {
-                        self.tries.extend(self.span);
+                        self.admitted.extend(self.span);
                     }
-                    self.tries.fail(failed)?;
+                    self.admitted.fail(failed)?;
                     attempt = self.stitch.restart();
                 }
             }
@@ -188,24 +188,29 @@
     fn bill(&self, ending: &Result<Ending, Refusal>) {
         let tokens = self.stitch.tokens().len() as u64;
         if tokens > 0 || *ending == Ok(Ending::Whole) {
-            let got = Got {
-                request: self.tries.work.id,
+            let got = AnswerUsage {
+                request: self.admitted.work.id,
                 tokens,
             };
             self.shared
                 .billing
-                .count(&self.shared, &self.tries.work.caller, got);
+                .count(&self.shared, &self.admitted.work.caller, got);
         }
     }
 
     fn attempt(&mut self, attempt: u32) -> Ended {
-        let target = self.tries.on.target.clone();
-        let mut paces = self.shared.serving.dispatch.paces(&target);
-        let ended = self.read(attempt, &mut paces);
-        self.shared.serving.dispatch.set_paces(&target, paces);
+        let target = self.admitted.on.target.clone();
+        let mut idle_timeouts = self.shared.serving.dispatch.idle_timeouts(&target);
+        let ended = self.read(attempt, &mut idle_timeouts);
+        self.shared
+            .serving
+            .dispatch
+            .set_idle_timeouts(&target, idle_timeouts);
         if let Err(CallError::Silent { .. }) = &ended {
             // Its siblings in the pool may be as dead; the next request opens a new one.
-            self.shared.client(self.tries.on.address).condemn_pooled();
+            self.shared
+                .client(self.admitted.on.address)
+                .condemn_pooled();
         }
         match ended {
             Ok(ended) => ended,
@@ -218,33 +223,34 @@
             }) => Ended::Wrong(message),
             Err(error) => {
                 let flowing = !self.stitch.tokens().is_empty();
-                let caller = self.tries.work.need.caller;
+                let caller = self.admitted.work.need.caller;
                 Ended::Failed(Failed::new(&error, flowing, caller))
             }
         }
     }
 
     /// Reads one engine's stream.
-    fn read(&mut self, attempt: u32, paces: &mut Paces) -> Result<Ended, CallError> {
-        self.generate.request = format!("{}-{attempt}", self.tries.work.id);
+    fn read(&mut self, attempt: u32, idle_timeouts: &mut IdleTimeouts) -> Result<Ended, CallError> {
+        self.generate.request = format!("{}-{attempt}", self.admitted.work.id);
         self.generate.resume = self.stitch.tokens().to_vec();
         let serving = &self.shared.serving;
         let mut heard = serving.now();
-        let patience = self.tries.work.patience(heard);
+        let patience = self.admitted.work.first_byte_timeout(heard);
         let client = self.client();
-        let mut stream = client.generate(&self.generate, paces.first.bound().min(patience))?;
+        let mut stream =
+            client.generate(&self.generate, idle_timeouts.first.bound().min(patience))?;
         let mut first = true;
         loop {
             let chunk = stream.next_chunk()?;
             let now = self.shared.serving.now();
             if std::mem::take(&mut first) {
-                paces.first.observe(now - heard);
+                idle_timeouts.first.observe(now - heard);
             } else {
-                paces.next.observe(now - heard);
+                idle_timeouts.next.observe(now - heard);
             }
             heard = now;
-            stream.set_idle(paces.next.bound());
-            if self.open.is_cut() {
+            stream.set_idle(idle_timeouts.next.bound());
+            if self.open.is_withdrawn() {
                 return Ok(Ended::Cut);
             }
             let Some(chunk) = chunk else {
@@ -283,8 +289,8 @@
             return Err(CallError::Truncated);
         }
         if stitched == Stitched::Next || last {
-            chunk.id = self.tries.work.id.to_string();
-            if self.answering.send(&chunk).is_err() {
+            chunk.id = self.admitted.work.id.to_string();
+            if self.responder.send(&chunk).is_err() {
                 return Ok(Some(Ended::Left));
             }
         }
@@ -293,8 +299,8 @@
 
     /// Returns the client; a request that may not run twice gets a connection of its own.
     fn client(&self) -> TargetClient {
-        let address = self.tries.on.address;
-        if self.tries.work.attempts.idempotent {
+        let address = self.admitted.on.address;
+        if self.admitted.work.attempts.idempotent {
             self.shared.client(address)
         } else {
             TargetClient::new(address)
--- a/crates/godwitspool-entry/src/request/keyed.rs
+++ b/crates/godwitspool-entry/src/request/idempotency.rs
@@ -17,9 +17,9 @@
 
 /// The idempotency keys whose home this host is.
 #[derive(Debug, Default)]
-pub(crate) struct Keyed(Mutex<KeyHome>);
+pub(crate) struct IdempotencyKeys(Mutex<KeyHome>);
 
-impl Keyed {
+impl IdempotencyKeys {
     fn lock(&self) -> MutexGuard<'_, KeyHome> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -151,7 +151,7 @@
     let now = shared.serving.now();
     let answer = shared
         .serving
-        .keyed
+        .idempotency
         .lock()
         .claim(&key_of(key), print, host, now);
     match answer {
@@ -165,14 +165,18 @@
 
 /// Releases a claim.
 pub(crate) fn take_release(shared: &Arc<Shared>, key: KeyName, host: &HostName) {
-    shared.serving.keyed.lock().release(&key_of(key), host);
+    shared
+        .serving
+        .idempotency
+        .lock()
+        .release(&key_of(key), host);
 }
 
 /// Records what became of a request.
 pub(crate) fn take_fate(shared: &Arc<Shared>, key: KeyName, fate: KeyFate) {
     shared
         .serving
-        .keyed
+        .idempotency
         .lock()
         .settle(&key_of(key), fate_of(fate));
 }
@@ -180,19 +184,19 @@
 /// Takes what another home hands over.
 pub(crate) fn take_items(shared: &Arc<Shared>, items: Vec<KeyItem>) {
     let now = shared.serving.now();
-    let mut home = shared.serving.keyed.lock();
+    let mut home = shared.serving.idempotency.lock();
     for item in items {
         home.accept(handed_of(item), now);
     }
 }
 
 /// Takes the members of a new view and hands over what moves to other homes.
-pub(crate) fn learn_members(shared: &Arc<Shared>, members: Vec<HostName>, lost: &[HostName]) {
+pub(crate) fn update_members(shared: &Arc<Shared>, members: Vec<HostName>, lost: &[HostName]) {
     let now = shared.serving.now();
     let own = &shared.settings.host;
     let handed = shared
         .serving
-        .keyed
+        .idempotency
         .lock()
         .set_members(own, members, lost, now);
     send(shared, handed);
@@ -203,7 +207,7 @@
     let now = shared.serving.now();
     let handed = shared
         .serving
-        .keyed
+        .idempotency
         .lock()
         .hand_over(&shared.settings.host, now);
     send(shared, handed);
--- a/crates/godwitspool-entry/src/request/peers.rs
+++ b/crates/godwitspool-entry/src/request/peers.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     process::shared::Shared,
-    request::{keyed, quota, suspicion},
+    request::{idempotency, quota, suspicion},
 };
 
 /// Answers another entry, or this one where it is itself the home.
@@ -17,7 +17,7 @@
             ServingAnswer::Trial(suspicion::answer_trial(shared, host, known))
         }
         ServingRequest::Claim { host, key, print } => {
-            ServingAnswer::Claim(keyed::answer_claim(shared, key, print, &host))
+            ServingAnswer::Claim(idempotency::answer_claim(shared, key, print, &host))
         }
         ServingRequest::Limits {
             arrived,
@@ -48,14 +48,14 @@
         ServingRequest::EndTrial { answered, print } => {
             suspicion::settle(shared, SuspectEvent::Over { answered, print });
         }
-        ServingRequest::HandOver(items) => keyed::take_items(shared, items),
+        ServingRequest::HandOver(items) => idempotency::take_items(shared, items),
         ServingRequest::Lift(print) => suspicion::settle(shared, SuspectEvent::Lift(print)),
         ServingRequest::Loads(loads) => {
             shared.serving.dispatch.report(&loads);
             shared.rollouts.report(&loads);
         }
-        ServingRequest::Release { host, key } => keyed::take_release(shared, key, &host),
-        ServingRequest::Settle { fate, key } => keyed::take_fate(shared, key, fate),
+        ServingRequest::Release { host, key } => idempotency::take_release(shared, key, &host),
+        ServingRequest::Settle { fate, key } => idempotency::take_fate(shared, key, fate),
         ServingRequest::AskTrial { .. }
         | ServingRequest::Claim { .. }
         | ServingRequest::Limits { .. }
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -10,14 +10,14 @@
 
 use crate::{
     connection::answer,
-    process::{billing::Got, shared::Shared},
+    process::{billing::AnswerUsage, shared::Shared},
     request::{
+        admitted::{AdmittedRequest, Failed},
         authorize::{self, OpenGuard},
         generation::read_body,
+        idempotency::{self, Claim, Claimed},
         journal::Step,
-        keyed::{self, Claim, Claimed},
         refusal::Refusal,
-        tries::{Failed, Tries},
         work::{self, Work},
     },
 };
@@ -30,7 +30,7 @@
     match run(&mut request, rest, shared, id) {
         Ok(answer) => respond(request, answer, id),
         Err(refusal) => {
-            shared.serving.refused(id, &refusal);
+            shared.serving.record_refusal(id, &refusal);
             answer::refuse_as(request, &refusal, id);
         }
     }
@@ -43,16 +43,22 @@
     id: RequestId,
 ) -> Result<PlainAnswer, Refusal> {
     let key = authorize::header_of(request, KEY_HEADER);
-    let keyed = key.is_some();
+    let has_key = key.is_some();
     let prepared = prepare(request, rest, shared, id);
     // Before the homes have spoken, an earlier request with the key may have run.
-    let prepared = prepared.map_err(|refusal| if keyed { refusal.for_keyed() } else { refusal })?;
+    let prepared = prepared.map_err(|refusal| {
+        if has_key {
+            refusal.for_keyed()
+        } else {
+            refusal
+        }
+    })?;
     let Some(key) = key else {
         return call(&prepared, shared);
     };
     let workspace = &prepared.work.caller.workspace;
     let print = prepared.work.need.fingerprint;
-    match keyed::claim(shared, workspace, &key, print) {
+    match idempotency::claim(shared, workspace, &key, print) {
         Claimed::Answered(bytes) => decode(&bytes).ok_or_else(|| Reason::FateUnknown.into()),
         Claimed::Refused(reason) => Err(reason.into()),
         Claimed::New(claim) => call_claimed(&prepared, shared, claim),
@@ -87,7 +93,7 @@
     let digest = authorize::digest_of(request);
     let caller = serving.keys.check(digest.as_ref(), &alias.into(), now)?;
     let open = serving.keys.open(id, digest);
-    serving.note(
+    serving.record_step(
         id,
         Step::Caller {
             service: caller.service.to_string(),
@@ -140,27 +146,27 @@
 }
 
 fn call(prepared: &Prepared, shared: &Arc<Shared>) -> Result<PlainAnswer, Refusal> {
-    let mut tries = Tries::begin(shared, prepared.work.clone())?;
+    let mut admitted = AdmittedRequest::begin(shared, prepared.work.clone())?;
     loop {
-        if prepared.open.is_cut() {
+        if prepared.open.is_withdrawn() {
             return Err(Reason::KeyWithdrawnMidway.into());
         }
-        match attempt(prepared, shared, &mut tries) {
+        match attempt(prepared, shared, &mut admitted) {
             Ok(answer) => {
-                tries.answered();
-                let got = Got {
+                admitted.answered();
+                let got = AnswerUsage {
                     request: prepared.work.id,
                     tokens: 0,
                 };
                 shared.billing.count(shared, &prepared.work.caller, got);
                 shared
                     .serving
-                    .note(prepared.work.id, Step::Whole { tokens: 0 });
+                    .record_step(prepared.work.id, Step::Whole { tokens: 0 });
                 return Ok(answer);
             }
             Err(error) => {
                 let caller = prepared.work.need.caller;
-                tries.fail(Failed::new(&error, false, caller))?;
+                admitted.fail(Failed::new(&error, false, caller))?;
             }
         }
     }
@@ -169,18 +175,20 @@
 fn attempt(
     prepared: &Prepared,
     shared: &Arc<Shared>,
-    tries: &mut Tries,
+    admitted: &mut AdmittedRequest,
 ) -> Result<PlainAnswer, CallError> {
     let serving = &shared.serving;
     let sent = serving.now();
-    let mut paces = serving.dispatch.paces(&tries.on.target);
-    let patience = tries.work.patience(sent);
-    let client = shared.client(tries.on.address);
-    let outcome = client.call(&prepared.call, paces.first.bound().min(patience));
+    let mut idle_timeouts = serving.dispatch.idle_timeouts(&admitted.on.target);
+    let patience = admitted.work.first_byte_timeout(sent);
+    let client = shared.client(admitted.on.address);
+    let outcome = client.call(&prepared.call, idle_timeouts.first.bound().min(patience));
     match &outcome {
         Ok(_) => {
-            paces.first.observe(serving.now() - sent);
-            serving.dispatch.set_paces(&tries.on.target, paces);
+            idle_timeouts.first.observe(serving.now() - sent);
+            serving
+                .dispatch
+                .set_idle_timeouts(&admitted.on.target, idle_timeouts);
         }
         Err(CallError::Silent { .. }) => client.condemn_pooled(),
         Err(_) => {}
--- a/crates/godwitspool-entry/src/request/suspicion.rs
+++ b/crates/godwitspool-entry/src/request/suspicion.rs
@@ -53,7 +53,7 @@
     }
 
     /// Notes on which target a suspect is on trial.
-    pub(crate) fn note_trial(&self, id: TargetId, print: u64) {
+    pub(crate) fn record_trial(&self, id: TargetId, print: u64) {
         self.lock().trials.push((id, print));
     }
 
@@ -113,13 +113,13 @@
 }
 
 /// Tells the homes of the requests in flight that their target crashed.
-pub(crate) fn crashed(shared: &Arc<Shared>, id: TargetId, target: &TargetName, flying: &[u64]) {
+pub(crate) fn crashed(shared: &Arc<Shared>, id: TargetId, target: &TargetName, in_flight: &[u64]) {
     let trial = match shared.serving.suspicion.notice(id, shared.serving.now()) {
         Noticed::Again => return,
         Noticed::InTrial(print) => Some(print),
         Noticed::New => None,
     };
-    for blame in share_blame(target, flying, trial) {
+    for blame in share_blame(target, in_flight, trial) {
         let request = ServingRequest::Blame {
             part: blame.part,
             print: blame.print,
--- a/crates/godwitspool-entry/src/request/work.rs
+++ b/crates/godwitspool-entry/src/request/work.rs
@@ -21,7 +21,7 @@
 impl Work {
     /// Returns how long a first byte may take: where another attempt may follow, the time left
     /// isn't all given to one target.
-    pub(crate) fn patience(&self, now: Millis) -> Millis {
+    pub(crate) fn first_byte_timeout(&self, now: Millis) -> Millis {
         let left = self.attempts.deadline - now;
         let part = if self.attempts.idempotent {
             left.0 / PATIENCE_PART
--- a/crates/godwitspool-entry/src/rollout/dispatch.rs
+++ b/crates/godwitspool-entry/src/rollout/dispatch.rs
@@ -18,7 +18,7 @@
 use super::{
     journal::SampleEvent,
     rollouts::{State, TargetState},
-    running::{Job, Running, StreamProgress},
+    running::{Job, RunningStream, StreamProgress},
     scores,
     stream::{self, Stream},
 };
@@ -38,7 +38,7 @@
             ticked = now;
             shared.rollouts.tick(shared);
             scores::tell(shared, ScoreEvent::Tick);
-            shared.rollouts.tell_portion(shared);
+            shared.rollouts.send_portion(shared);
         }
         let view = shared.view();
         let streams = {
@@ -241,7 +241,7 @@
         } else {
             SampleEvent::Started(target.target.clone(), resumed)
         };
-        self.journal.note(now, &job.partial.id, event);
+        self.journal.record(now, &job.partial.id, event);
         if let Some(known) = self.targets.get_mut(&target.target) {
             known.training += 1;
         }
@@ -249,7 +249,7 @@
             trainer.runs += 1;
         }
         let host = shared.settings.host.as_str();
-        let running = Arc::new(Running {
+        let running = Arc::new(RunningStream {
             cancelled: AtomicBool::new(false),
             generation: job.generation,
             id: job.partial.id.clone(),
@@ -270,7 +270,7 @@
         Some(Stream {
             attempt,
             client: shared.client(target.address),
-            guard: shared.enter_target(&target.target),
+            guard: shared.track_target(&target.target),
             kv: job.kv,
             model,
             running,
--- a/crates/godwitspool-entry/src/rollout/journal.rs
+++ b/crates/godwitspool-entry/src/rollout/journal.rs
@@ -59,7 +59,7 @@
 
 impl Journal {
     /// Appends an event; the oldest one goes once there are too many.
-    pub(crate) fn note(&mut self, now: Millis, id: &SampleId, event: SampleEvent) {
+    pub(crate) fn record(&mut self, now: Millis, id: &SampleId, event: SampleEvent) {
         if self.entries.len() == MOST_ENTRIES {
             self.entries.pop_front();
         }
--- a/crates/godwitspool-entry/src/rollout/moves.rs
+++ b/crates/godwitspool-entry/src/rollout/moves.rs
@@ -12,7 +12,7 @@
 use super::{
     dispatch::FIRST_PACE_MS,
     rollouts::State,
-    running::{Job, Running},
+    running::{Job, RunningStream},
     stream,
 };
 
@@ -178,7 +178,7 @@
         }
     }
 
-    fn reclaimed(&self, running: &Running) -> ReclaimedStream {
+    fn reclaimed(&self, running: &RunningStream) -> ReclaimedStream {
         let tokens = running.progress().partial.tokens.len() as u32;
         let trainer = self.trainers.get(&running.id.trainer);
         let rest = trainer.map_or(0.0, |trainer| {
@@ -195,7 +195,7 @@
     }
 }
 
-fn attempt_of(running: &Running) -> Option<Attempt> {
+fn attempt_of(running: &RunningStream) -> Option<Attempt> {
     let progress = running.progress();
     if progress.move_to.is_some() || running.is_hedge {
         return None;
--- a/crates/godwitspool-entry/src/rollout/peers.rs
+++ b/crates/godwitspool-entry/src/rollout/peers.rs
@@ -11,11 +11,11 @@
 pub(crate) fn answer(shared: &Arc<Shared>, message: RolloutRequest) -> RolloutAnswer {
     match message {
         RolloutRequest::Ask { trainer, request } => {
-            let answer = shared.rollouts.ask_here(shared, &trainer, request);
+            let answer = shared.rollouts.ask_local(shared, &trainer, request);
             RolloutAnswer::Answer(Box::new(answer))
         }
         RolloutRequest::Portion(portion) => {
-            shared.rollouts.learn_portion(portion);
+            shared.rollouts.update_portion(portion);
             RolloutAnswer::Taken
         }
         RolloutRequest::Tell {
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -29,9 +29,9 @@
     outbox::Outbox,
     portions::Portions,
     ranking,
-    running::{Job, Running},
+    running::{Job, RunningStream},
 };
-use crate::process::{billing::Got, demand::Loads, shared::Shared};
+use crate::process::{billing::AnswerUsage, demand::Loads, shared::Shared};
 
 /// Time without a token after which a sample is hedged.
 const SILENT_MS: Millis = Millis(1_500);
@@ -55,7 +55,7 @@
     replies: HashMap<u64, Sender<Answer>>,
     reply: u64,
     pub(super) attempt: u64,
-    pub(super) running: HashMap<u64, Arc<Running>>,
+    pub(super) running: HashMap<u64, Arc<RunningStream>>,
     pub(super) scoring: Scoring,
     pub(super) unscored: HashMap<String, (u64, Sample)>,
     pub(super) shares: Shares,
@@ -116,7 +116,7 @@
         trainer: &TrainerName,
         request: Request,
     ) -> Answer {
-        let answer = self.ask_here(shared, trainer, request.clone());
+        let answer = self.ask_local(shared, trainer, request.clone());
         let Answer::Refused(Refusal::Moving(Some(home))) = &answer else {
             return answer;
         };
@@ -124,11 +124,11 @@
             trainer: trainer.clone(),
             request,
         };
-        ask_there(shared, home, message).unwrap_or(answer)
+        ask_remote(shared, home, message).unwrap_or(answer)
     }
 
     /// Asks this host's state; answered once the replica holds what the answer rests on.
-    pub(crate) fn ask_here(
+    pub(crate) fn ask_local(
         &self,
         shared: &Arc<Shared>,
         trainer: &TrainerName,
@@ -192,13 +192,13 @@
     }
 
     /// Takes in another host's part of the training.
-    pub(crate) fn learn_portion(&self, portion: Portion) {
+    pub(crate) fn update_portion(&self, portion: Portion) {
         let now = self.clock.now();
         self.lock().portions.learn(portion, now);
     }
 
     /// Tells the other hosts of this one's part of the training.
-    pub(super) fn tell_portion(&self, shared: &Arc<Shared>) {
+    pub(super) fn send_portion(&self, shared: &Arc<Shared>) {
         let own = &shared.settings.host;
         let portion = self.lock().portion(own);
         let view = shared.view();
@@ -315,7 +315,7 @@
         shared.billing.add(
             shared,
             &caller,
-            Got {
+            AnswerUsage {
                 request,
                 tokens: handed.tokens,
             },
@@ -383,7 +383,7 @@
     }
 }
 
-fn ask_there(shared: &Arc<Shared>, home: &HostName, message: RolloutRequest) -> Option<Answer> {
+fn ask_remote(shared: &Arc<Shared>, home: &HostName, message: RolloutRequest) -> Option<Answer> {
     let view = shared.view();
     let member = view.members.iter().find(|member| member.host == *home)?;
     let answer = shared
--- a/crates/godwitspool-entry/src/rollout/running.rs
+++ b/crates/godwitspool-entry/src/rollout/running.rs
@@ -21,7 +21,7 @@
 
 /// A stream that makes a sample.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct RunningStream {
     pub(super) cancelled: AtomicBool,
     pub(super) generation: u64,
     pub(super) id: SampleId,
@@ -43,7 +43,7 @@
     pub(super) resumed: u32,
 }
 
-impl Running {
+impl RunningStream {
     pub(super) fn progress(&self) -> MutexGuard<'_, StreamProgress> {
         self.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/godwitspool-entry/src/rollout/scores.rs
+++ b/crates/godwitspool-entry/src/rollout/scores.rs
@@ -71,7 +71,7 @@
     };
     if let Score::Failed(cause) = &score {
         let event = SampleEvent::Unscored(cause.clone());
-        state.journal.note(now, &sample.id, event);
+        state.journal.record(now, &sample.id, event);
     }
     drop(state);
     sample.score = score;
--- a/crates/godwitspool-entry/src/rollout/stream.rs
+++ b/crates/godwitspool-entry/src/rollout/stream.rs
@@ -12,10 +12,10 @@
 
 use super::{
     journal::SampleEvent,
-    running::{Job, Running, StreamProgress},
+    running::{Job, RunningStream, StreamProgress},
     scores,
 };
-use crate::process::shared::{OnTarget, Shared};
+use crate::process::shared::{Shared, TargetGuard};
 
 /// Bound on the wait for the next token of a sample.
 const TOKEN_IDLE: Millis = Millis(5_000);
@@ -36,10 +36,10 @@
 pub(super) struct Stream {
     pub(super) attempt: u64,
     pub(super) client: TargetClient,
-    pub(super) guard: OnTarget,
+    pub(super) guard: TargetGuard,
     pub(super) kv: Option<KvHandle>,
     pub(super) model: ModelName,
-    pub(super) running: Arc<Running>,
+    pub(super) running: Arc<RunningStream>,
 }
 
 impl Stream {
@@ -166,7 +166,7 @@
                 SampleEvent::Whole(made, spans.map(|span| span.version.clone()).collect())
             }
         };
-        state.journal.note(now, &self.running.id, event);
+        state.journal.record(now, &self.running.id, event);
         let wanted = state.is_wanted(&self.running.id, self.running.generation);
         match end {
             End::Whole(finish) if wanted => {
