--- a/crates/godwitspool-entry/src/connection/answer.rs
+++ b/crates/godwitspool-entry/src/connection/answer.rs
@@ -12,13 +12,13 @@
 
 use crate::{process::shared::Shared, request::refusal::Refusal};
 
-/// Writes a refusal.
+/// Refuses a request that has no identity yet, under a random one.
 pub(crate) fn refuse(request: Request, refusal: &Refusal) {
-    refuse_as(request, refusal, RequestId::random());
+    refuse_with_id(request, refusal, RequestId::random());
 }
 
-/// Writes a refusal of a request that already has an identity.
-pub(crate) fn refuse_as(request: Request, refusal: &Refusal, id: RequestId) {
+/// Refuses a request that already has an identity.
+pub(crate) fn refuse_with_id(request: Request, refusal: &Refusal, id: RequestId) {
     log::info!(request:% = id, reason = refusal.code(); "refused");
     let body = error_body(refusal, id);
     let mut response = Response::from_string(body.to_string())
@@ -29,18 +29,18 @@
         response.add_header(header("Retry-After", &seconds.to_string()));
     }
     if let Err(error) = request.respond(response) {
-        log::debug!("caller left before its refusal: {error}");
+        log::debug!("caller left before its refusal was sent: {error}");
     }
 }
 
-/// Makes a header; a value that HTTP doesn't allow becomes empty.
+/// Returns a header. A value that HTTP doesn't allow becomes empty.
 pub(crate) fn header(name: &'static str, value: &str) -> Header {
     Header::from_bytes(name, value)
         .or_else(|()| Header::from_bytes(name, ""))
         .unwrap_or_else(|()| unreachable!("header name {name:?} is a constant"))
 }
 
-/// Writes server-sent events in a chunked answer, each flushed at once.
+/// Writes server-sent events as a chunked HTTP answer and flushes after each event.
 pub(crate) struct EventWriter {
     writer: Box<dyn Write + Send>,
 }
@@ -52,7 +52,7 @@
 }
 
 impl EventWriter {
-    /// Sends the head of the answer.
+    /// Sends the status line and the headers.
     pub(crate) fn start(request: Request, id: RequestId) -> io::Result<Self> {
         let mut writer = request.into_writer();
         write!(
@@ -70,7 +70,7 @@
         self.send_text(&json)
     }
 
-    /// Sends the terminator and ends the answer.
+    /// Sends the terminator `[DONE]` and ends the answer.
     pub(crate) fn finish(mut self) -> io::Result<()> {
         self.send_text("[DONE]")?;
         self.end()
@@ -78,7 +78,8 @@
 
     /// Sends an error event and ends the answer without the terminator.
     ///
-    /// The library keeps the connection open, so the body has to end for the caller to notice.
+    /// `tiny_http` keeps the connection open, so only the end of the body tells the caller that the
+    /// answer has ended.
     pub(crate) fn fail(mut self, event: &impl Serialize) -> io::Result<()> {
         self.send(event)?;
         self.end()
@@ -96,8 +97,10 @@
     }
 }
 
-/// The answer to one request: a refusal while nothing has been sent, else a stream that ends with
-/// the terminator or an error event.
+/// Sends the answer to one request.
+///
+/// A refusal is an answer of its own as long as nothing has been sent. Afterwards the answer is a
+/// stream, which ends with the terminator or with an error event.
 #[derive(Debug)]
 pub(crate) struct Responder {
     id: RequestId,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Sends one event.
+    /// Sends one event. The first event starts the stream.
     pub(crate) fn send(&mut self, event: &impl Serialize) -> io::Result<()> {
         if let Some(request) = self.request.take() {
             self.writer = Some(EventWriter::start(request, self.id)?);
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer with the terminator.
     pub(crate) fn finish(&mut self) {
         if let Some(writer) = self.writer.take()
             && let Err(error) = writer.finish()
@@ -136,11 +139,11 @@
         }
     }
 
-    /// Refuses the request; a stream that has begun ends with an error event and no terminator.
+    /// Refuses the request. A stream that has started ends with an error event and no terminator.
     pub(crate) fn refuse(&mut self, refusal: &Refusal) {
         self.shared.serving.record_refusal(self.id, refusal);
         if let Some(request) = self.request.take() {
-            refuse_as(request, refusal, self.id);
+            refuse_with_id(request, refusal, self.id);
         } else if let Some(writer) = self.writer.take()
             && let Err(error) = writer.fail(&error_body(refusal, self.id))
         {
--- a/crates/godwitspool-entry/src/connection/callers.rs
+++ b/crates/godwitspool-entry/src/connection/callers.rs
@@ -18,10 +18,10 @@
     rollout::trainers,
 };
 
-/// Requests in progress at once.
+/// Further requests are refused with `queue-full`.
 const MAX_IN_PROGRESS: usize = 2_000;
 
-/// The listener's thread. Dropping it ends and joins the thread.
+/// The listener's thread. Dropping this value stops the listener and joins the thread.
 #[derive(Debug)]
 pub(crate) struct Callers {
     listener: Arc<HttpListener>,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Serves callers until the result is dropped.
+/// Serves callers until the returned value is dropped.
 pub(crate) fn listen(listener: TcpListener, shared: Arc<Shared>) -> io::Result<Callers> {
     let listener = Arc::new(HttpListener::new(listener)?);
     let own = Arc::clone(&listener);
@@ -55,9 +55,10 @@
     })
 }
 
-/// Refuses what comes late on connections that were accepted before the end; bounded in time.
+/// Refuses requests that arrive after the listener has stopped, on connections accepted before; for
+/// a bounded time.
 ///
-/// Nobody waits for this thread: it matters only where the process outlives its entry.
+/// The thread isn't joined. It matters only where the process outlives its entry.
 fn refuse_late(listener: Arc<HttpListener>) {
     let refuse = move || {
         while let Some(request) = listener.next_late() {
@@ -68,7 +69,7 @@
         .name("late-callers".to_owned())
         .spawn(refuse);
     if let Err(error) = spawned {
-        log::debug!("late callers are not refused: {error}");
+        log::debug!("cannot spawn the thread that refuses late callers: {error}");
     }
 }
 
@@ -86,7 +87,7 @@
             drop(guard);
         });
     if let Err(error) = spawned {
-        log::error!("no thread for a request: {error}");
+        log::error!("cannot spawn a thread for a request: {error}");
     }
 }
 
--- a/crates/godwitspool-entry/src/connection/mod.rs
+++ b/crates/godwitspool-entry/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one connection.
+//! State with the lifetime of one connection.
 
 pub(crate) mod answer;
 pub(crate) mod callers;
--- a/crates/godwitspool-entry/src/connection/peers.rs
+++ b/crates/godwitspool-entry/src/connection/peers.rs
@@ -1,4 +1,4 @@
-//! What other entries ask, and the links to them.
+//! Requests of other entries, and the links to other entries.
 
 use std::{
     collections::HashMap,
@@ -23,7 +23,7 @@
 }
 
 impl Links {
-    /// Returns the link to an entry.
+    /// Returns the link to an entry, which is created on first use.
     pub(crate) fn to(&self, address: SocketAddr) -> Arc<EntryLink> {
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links
@@ -33,7 +33,7 @@
     }
 }
 
-/// Answers another entry.
+/// Answers a message of another entry.
 pub(crate) fn answer(shared: &Arc<Shared>, message: EntryRequest) -> EntryAnswer {
     match message {
         EntryRequest::Rollout(message) => {
--- a/crates/godwitspool-entry/src/lib.rs
+++ b/crates/godwitspool-entry/src/lib.rs
@@ -1,15 +1,16 @@
 //! The entry daemon: callers, trainers, routing, streams and rollouts.
 //!
-//! An [`Entry`] answers callers over HTTP and needs nothing of the platform while it does: all that
-//! it knows comes from stewards as a [`View`](godwitspool_connection::messages::View).
+//! An [`Entry`] answers callers over HTTP without calling the platform. Everything it knows about
+//! configuration, hosts and targets comes from stewards as a
+//! [`View`](godwitspool_connection::messages::View).
 //!
-//! | module | lives for |
-//! |---|---|
-//! | `request` | one request: authorization, routing, streams, refusals |
-//! | `rollout` | one step: trainers' groups, samples and batches |
-//! | `connection` | one connection: the callers' listener and their answers |
-//! | `version` | one version of the view |
-//! | `process` | the process: start, shared state, drain |
+//! | module | lifetime of its state | contents |
+//! |---|---|---|
+//! | `request` | one request | authorization, routing, streams, refusals |
+//! | `rollout` | one step | trainers' groups, samples and batches |
+//! | `connection` | one connection | the callers' listener, answers, links to other entries |
+//! | `version` | one version of the view | the feed from the stewards |
+//! | `process` | the process | start, shared state, background threads, drain |
 
 mod connection;
 mod process;
--- a/crates/godwitspool-entry/src/main.rs
+++ b/crates/godwitspool-entry/src/main.rs
@@ -8,10 +8,10 @@
 const HELP: &str = "\
 godwitspool-entry SETTINGS.yaml [--check]
 
-Answers callers and trainers. SIGTERM drains: no new work, what runs is finished.
-A second SIGTERM ends at once.
+Answers callers and trainers. SIGTERM drains: the entry accepts no new work and
+finishes what is in progress. A second SIGTERM stops it at once.
 
-  --check     checks the settings and ends, with status 2 for findings
+  --check     checks the settings and exits, with status 2 if there are findings
   --help
   --version";
 
@@ -24,16 +24,16 @@
     program.run(|path| EntrySettings::load(path), serve)
 }
 
-/// Serves until the second termination signal, or until the drain after the first has ended.
+/// Serves until a first termination signal, then drains. A second signal ends the drain early.
 fn serve(settings: EntrySettings) -> io::Result<()> {
     logs::install(settings.log).map_err(io::Error::other)?;
     let termination = Termination::watch()?;
-    let bound = settings.drain.duration();
+    let drain_timeout = settings.drain.duration();
     let entry = Entry::start(settings)?;
-    log::info!(callers:% = entry.address(); "entry serves");
-    let hurry = termination.wait();
-    log::info!("entry drains");
-    let cut = entry.drain(bound, &hurry);
-    log::info!(cut; "entry ends");
+    log::info!(callers:% = entry.address(); "entry started");
+    let interrupted = termination.wait();
+    log::info!("entry is draining");
+    let cut = entry.drain(drain_timeout, &interrupted);
+    log::info!(cut; "entry stopped");
     Ok(())
 }
--- a/crates/godwitspool-entry/src/process/billing.rs
+++ b/crates/godwitspool-entry/src/process/billing.rs
@@ -1,4 +1,7 @@
-//! Usage of answered requests, held by other hosts before the end of an answer is sent.
+//! Billing of answered requests.
+//!
+//! Usage records go to this host's steward, which copies them to other hosts before it confirms them.
+//! The end of an answer is sent only after its record is confirmed, or after a timeout.
 
 use std::{
     net::SocketAddr,
@@ -16,40 +19,42 @@
 
 use crate::process::shared::Shared;
 
-/// Longest time that the end of an answer waits for its usage to be held.
-const HELD_BOUND: Duration = Duration::from_millis(1_500);
+/// Longest time for which the end of an answer waits until a steward holds its usage record.
+const HOLD_TIMEOUT: Duration = Duration::from_millis(1_500);
 const ANSWER_TIMEOUT: Millis = Millis(1_000);
-const IDLE_WAIT: Duration = Duration::from_millis(100);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Records sent in one message.
-const MAX_BATCH: usize = 2_000;
-/// Other stewards that hold records while the own host's steward is silent.
-const COPIES: usize = 2;
-
-/// Records on their way to the stewards that hold them.
+const BATCH_WAIT: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_BATCH_RECORDS: usize = 2_000;
+/// Stewards of other hosts that get the records while this host's steward doesn't answer.
+const FALLBACK_STEWARDS: usize = 2;
+
+/// Usage records that are waiting until a steward holds them.
 ///
-/// Sequence numbers have no gaps in one life of the entry, and records are held in their order, so
-/// one number tells which are held.
+/// Sequence numbers have no gaps within one incarnation of the entry, and records are sent in that
+/// order, so the highest held number says which records are held.
 #[derive(Debug)]
 pub(crate) struct Billing {
     changed: Condvar,
-    life: u64,
+    /// Start time of the entry in milliseconds since the Unix epoch, sent as its incarnation.
+    started_ms: u64,
     state: Mutex<State>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Set while no steward holds records; answers then don't wait.
+    /// Set while no steward takes records. Answers then don't wait.
     failing: bool,
+    /// Highest sequence number that stewards hold.
     held: u64,
-    next: u64,
-    waiting: Vec<UsageRecord>,
+    /// Last sequence number given out.
+    last_sequence: u64,
+    pending: Vec<UsageRecord>,
 }
 
-/// What a caller got of one request.
+/// Usage of one answered request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AnswerUsage {
-    /// Tokens that were sent to the caller.
+    /// Output tokens sent to the caller.
     pub(crate) tokens: u64,
     pub(crate) request: RequestId,
 }
@@ -61,47 +66,47 @@
             .unwrap_or_default();
         Self {
             changed: Condvar::new(),
-            life: since.as_millis() as u64,
+            started_ms: since.as_millis() as u64,
             state: Mutex::default(),
         }
     }
 }
 
 impl Billing {
-    /// Counts what a caller got and waits until it is held, for a bounded time.
+    /// Queues a usage record and waits for a bounded time until a steward holds it.
     ///
-    /// While no steward is reached nothing is waited for: the entry serves on and keeps the records
-    /// until one is.
+    /// While no steward can be reached there is no wait: the entry keeps serving and keeps the
+    /// records until a steward takes them.
     ///
-    /// A request without a workspace, on an open route, is nobody's to pay.
-    pub(crate) fn count(&self, shared: &Shared, caller: &Caller, got: AnswerUsage) {
+    /// A request without a workspace comes over an open route and isn't billed.
+    pub(crate) fn record_and_wait(&self, shared: &Shared, caller: &Caller, usage: AnswerUsage) {
         if caller.workspace.as_str().is_empty() {
             return;
         }
-        let sequence = self.add(shared, caller, got);
-        let waits = |state: &mut State| state.held < sequence && !state.failing;
+        let sequence = self.enqueue(shared, caller, usage);
+        let must_wait = |state: &mut State| state.held < sequence && !state.failing;
         let (state, _) = self
             .changed
-            .wait_timeout_while(self.lock(), HELD_BOUND, waits)
+            .wait_timeout_while(self.lock(), HOLD_TIMEOUT, must_wait)
             .unwrap_or_else(PoisonError::into_inner);
         if state.held < sequence {
-            log::warn!(request:% = got.request; "usage is not yet held by other hosts");
+            log::warn!(request:% = usage.request; "answer ends before a steward holds its usage record");
         }
     }
 
-    /// Counts what a caller got, without a wait, and returns the record's sequence number.
-    pub(crate) fn add(&self, shared: &Shared, caller: &Caller, got: AnswerUsage) -> u64 {
+    /// Queues a usage record without waiting, and returns its sequence number.
+    pub(crate) fn enqueue(&self, shared: &Shared, caller: &Caller, usage: AnswerUsage) -> u64 {
         let mut state = self.lock();
-        state.next += 1;
-        let sequence = state.next;
-        state.waiting.push(UsageRecord {
+        state.last_sequence += 1;
+        let sequence = state.last_sequence;
+        state.pending.push(UsageRecord {
             host: shared.settings.host.clone(),
             sequence,
-            incarnation: self.life,
-            output_tokens: got.tokens,
-            // The engines' protocol doesn't tell how many tokens a prompt has.
+            incarnation: self.started_ms,
+            output_tokens: usage.tokens,
+            // The engines' protocol doesn't report how many tokens a prompt has.
             prompt_tokens: 0,
-            request: got.request,
+            request: usage.request,
             service: caller.service.clone(),
             workspace: caller.workspace.clone(),
         });
@@ -109,28 +114,35 @@
         sequence
     }
 
-    /// Returns the first records that wait.
+    /// Returns the oldest waiting records. Waits for a short time when there are none.
     fn batch(&self) -> Vec<UsageRecord> {
-        let empty = |state: &mut State| state.waiting.is_empty();
+        let empty = |state: &mut State| state.pending.is_empty();
         let (state, _) = self
             .changed
-            .wait_timeout_while(self.lock(), IDLE_WAIT, empty)
+            .wait_timeout_while(self.lock(), BATCH_WAIT, empty)
             .unwrap_or_else(PoisonError::into_inner);
-        state.waiting.iter().take(MAX_BATCH).cloned().collect()
+        state
+            .pending
+            .iter()
+            .take(MAX_BATCH_RECORDS)
+            .cloned()
+            .collect()
     }
 
-    fn settle(&self, batch: &[UsageRecord]) {
+    /// Removes records that a steward now holds, and wakes the answers that wait for them.
+    fn mark_held(&self, batch: &[UsageRecord]) {
         let Some(last) = batch.last() else { return };
         let mut state = self.lock();
         state.failing = false;
         state.held = last.sequence;
         state
-            .waiting
+            .pending
             .retain(|record| record.sequence > last.sequence);
         self.changed.notify_all();
     }
 
-    fn fail(&self) {
+    /// Marks the stewards as failing, so that answers no longer wait.
+    fn mark_failing(&self) {
         self.lock().failing = true;
         self.changed.notify_all();
     }
@@ -139,27 +151,28 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn is_settled(&self) -> bool {
-        self.lock().waiting.is_empty()
+    fn is_empty(&self) -> bool {
+        self.lock().pending.is_empty()
     }
 }
 
-/// Has records held until the entry stops and none waits.
+/// Sends usage records to stewards until the entry stops and none is waiting. When the entry has
+/// stopped and no steward takes the records, they are lost.
 pub(crate) fn run(shared: &Arc<Shared>) {
     let own = link(shared.settings.steward);
-    while !shared.stopped() || !shared.billing.is_settled() {
+    while !shared.stopped() || !shared.billing.is_empty() {
         let batch = shared.billing.batch();
         if batch.is_empty() {
             continue;
         }
-        if hold(&own, &batch) || hold_elsewhere(shared, &batch) {
-            shared.billing.settle(&batch);
+        if hold(&own, &batch) || hold_on_other_hosts(shared, &batch) {
+            shared.billing.mark_held(&batch);
         } else if shared.stopped() {
-            log::error!(records = batch.len(); "usage is lost: no steward holds it");
+            log::error!(records = batch.len(); "usage records lost: entry stopped before a steward accepted them");
             return;
         } else {
-            shared.billing.fail();
-            thread::sleep(RETRY_PAUSE);
+            shared.billing.mark_failing();
+            thread::sleep(RETRY_DELAY);
         }
     }
 }
@@ -170,13 +183,15 @@
     Link::new(steward, LinkBounds::default().with_answer(ANSWER_TIMEOUT))
 }
 
+/// Sends records to a steward and returns whether it holds them.
 fn hold(link: &StewardLink, batch: &[UsageRecord]) -> bool {
     let answer = link.call(&StewardRequest::HoldUsage(batch.to_vec()));
     matches!(answer, Ok(StewardAnswer::Done))
 }
 
-/// Has other hosts' stewards hold the records, those of the own data centre first.
-fn hold_elsewhere(shared: &Shared, batch: &[UsageRecord]) -> bool {
+/// Sends the records to stewards of other hosts, those of this data centre first. Returns whether
+/// at least one holds them.
+fn hold_on_other_hosts(shared: &Shared, batch: &[UsageRecord]) -> bool {
     let view = shared.view();
     let mut others: Vec<_> = view
         .members
@@ -187,5 +202,5 @@
     let holders = others
         .iter()
         .filter(|member| hold(&link(member.steward), batch));
-    holders.take(COPIES).count() > 0
+    holders.take(FALLBACK_STEWARDS).count() > 0
 }
--- a/crates/godwitspool-entry/src/process/demand.rs
+++ b/crates/godwitspool-entry/src/process/demand.rs
@@ -1,4 +1,4 @@
-//! Tells the own host's steward what this entry's work needs.
+//! Reports the load of this entry by service to this host's steward.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,9 +16,9 @@
 use crate::process::shared::Shared;
 
 const ANSWER_TIMEOUT: Millis = Millis(1_000);
-const PAUSE: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Running and waiting work of one service.
+/// Requests or samples of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub(crate) running: u32,
@@ -34,9 +34,9 @@
     let steward = Link::<StewardRequest, StewardAnswer>::new(shared.settings.steward, bounds);
     while !shared.stopped() {
         if let Err(error) = steward.call(&StewardRequest::Demand(demand(shared))) {
-            log::debug!("demand is not reported: {error}");
+            log::debug!("cannot report demand to the steward: {error}");
         }
-        thread::sleep(PAUSE);
+        thread::sleep(REPORT_INTERVAL);
     }
 }
 
--- a/crates/godwitspool-entry/src/process/entry.rs
+++ b/crates/godwitspool-entry/src/process/entry.rs
@@ -1,4 +1,4 @@
-//! The daemon: starts its threads and stops them.
+//! The entry daemon: starts and stops its threads.
 
 use std::{
     io,
@@ -25,12 +25,12 @@
     version::feed,
 };
 
-/// Pause between looks at what is still in progress during a drain.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
-/// Time for which new requests are served on, while the balancer has not yet noticed the leaving.
-const BALANCER_LAG: Duration = Duration::from_secs(5);
-/// The balancer's lag takes at most this part of a drain.
-const LAG_PART: u32 = 3;
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// During this part of a drain new requests are still served, since the load balancer keeps sending
+/// them until it has seen that the entry isn't ready.
+const BALANCER_GRACE: Duration = Duration::from_secs(5);
+/// The grace period for the balancer is at most the drain's time divided by this.
+const BALANCER_GRACE_DIVISOR: u32 = 3;
 
 /// A running entry daemon. Dropping it stops its threads.
 #[derive(Debug)]
@@ -47,10 +47,10 @@
 }
 
 impl Entry {
-    /// Binds the callers' address and starts to follow the stewards.
+    /// Binds the addresses of the settings, starts the threads and follows the stewards.
     ///
     /// # Errors
-    /// The callers' address can't be bound.
+    /// An address can't be bound or a thread can't be started.
     pub fn start(settings: EntrySettings) -> io::Result<Self> {
         let listener = TcpListener::bind(settings.callers)?;
         let address = listener.local_addr()?;
@@ -80,41 +80,45 @@
         })
     }
 
-    /// Returns the address on which callers are served.
+    /// Returns the bound address for callers and trainers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the address on which other entries are answered.
+    /// Returns the bound address for other entries.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Returns the address on which operators are answered.
+    /// Returns the bound address for operators.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators.address()
     }
 
-    /// Tells whether a view has come in, so that requests can be served.
+    /// Returns whether the entry has received a view, which it needs to serve requests.
     pub fn ready(&self) -> bool {
         self.shared.view().revision > 0
     }
 
-    /// Leaves: serves on while the balancer lags, then takes no new work and waits for what is in
-    /// progress; at most for `bound` in all or until `hurry`.
+    /// Drains the entry.
     ///
-    /// Returns the number of requests that were cut.
-    pub fn drain(&self, bound: Duration, hurry: &AtomicBool) -> usize {
+    /// The entry reports that it isn't ready, and serves new requests for a grace period until the
+    /// load balancer has noticed. Then it refuses new requests and waits for those in progress. The
+    /// wait ends after `timeout` in all, or as soon as `interrupted` is set. Finally the entry
+    /// hands the idempotency keys whose home it is over to other hosts.
+    ///
+    /// Returns the number of requests that were still in progress at the end.
+    pub fn drain(&self, timeout: Duration, interrupted: &AtomicBool) -> usize {
         self.shared.begin_leaving();
-        let end = Instant::now() + bound;
-        let lag = Instant::now() + BALANCER_LAG.min(bound / LAG_PART);
-        while Instant::now() < lag && !hurry.load(Ordering::Acquire) {
-            thread::sleep(DRAIN_POLL);
+        let end = Instant::now() + timeout;
+        let grace_end = Instant::now() + BALANCER_GRACE.min(timeout / BALANCER_GRACE_DIVISOR);
+        while Instant::now() < grace_end && !interrupted.load(Ordering::Acquire) {
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
         self.shared.begin_drain();
-        let waits = || Instant::now() < end && !hurry.load(Ordering::Acquire);
-        while self.shared.in_progress() > 0 && waits() {
-            thread::sleep(DRAIN_POLL);
+        let may_wait = || Instant::now() < end && !interrupted.load(Ordering::Acquire);
+        while self.shared.in_progress() > 0 && may_wait() {
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
         idempotency::hand_over(&self.shared);
         self.shared.in_progress()
@@ -137,10 +141,10 @@
         }
         let own = [self.feed.take(), self.rollouts.take()];
         for thread in self.upkeep.drain(..).chain(own.into_iter().flatten()) {
-            // A panicked thread has nothing left to stop.
+            // The result of a panicked thread isn't needed.
             drop(thread.join());
         }
-        // Last, so that whoever still calls is told that nothing ran.
+        // The listener stops last, so that late callers are told that their request didn't run.
         self.callers = None;
     }
 }
--- a/crates/godwitspool-entry/src/process/mod.rs
+++ b/crates/godwitspool-entry/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for the process.
+//! State with the lifetime of the process.
 
 pub(crate) mod billing;
 pub(crate) mod demand;
--- a/crates/godwitspool-entry/src/process/operators.rs
+++ b/crates/godwitspool-entry/src/process/operators.rs
@@ -1,4 +1,4 @@
-//! What the entry tells its operators.
+//! The operators' HTTP pages: readiness, status, `explain` and quarantine.
 
 use std::{io, net::TcpListener, sync::Arc};
 
@@ -12,11 +12,11 @@
 const LIFT: &str = "/quarantine/lift/";
 const QUARANTINE: &str = "/quarantine";
 
-/// Answers operators for the entry.
+/// The entry's pages for operators.
 #[derive(Debug)]
 struct Pages(Arc<Shared>);
 
-/// Starts to answer operators.
+/// Starts the operators' HTTP listener.
 pub(crate) fn serve(shared: &Arc<Shared>) -> io::Result<OperatorHttp> {
     let listener = TcpListener::bind(shared.settings.operators)?;
     let metrics = Arc::clone(&shared.serving.metrics);
@@ -63,16 +63,19 @@
         }
         if path == QUARANTINE {
             let now = self.0.serving.now();
-            let prints = self.0.serving.suspicion.quarantined(now);
-            let prints: Vec<String> = prints.iter().map(|print| format!("{print:016x}")).collect();
-            return Some(json!({ "quarantined": prints }));
+            let fingerprints = self.0.serving.suspicion.quarantined(now);
+            let fingerprints: Vec<String> = fingerprints
+                .iter()
+                .map(|fingerprint| format!("{fingerprint:016x}"))
+                .collect();
+            return Some(json!({ "quarantined": fingerprints }));
         }
         None
     }
 
     fn act(&self, path: &str) -> Option<Value> {
-        let print = u64::from_str_radix(path.strip_prefix(LIFT)?, 16).ok()?;
-        suspicion::lift(&self.0, print);
-        Some(json!({ "lifted": format!("{print:016x}") }))
+        let fingerprint = u64::from_str_radix(path.strip_prefix(LIFT)?, 16).ok()?;
+        suspicion::lift(&self.0, fingerprint);
+        Some(json!({ "lifted": format!("{fingerprint:016x}") }))
     }
 }
--- a/crates/godwitspool-entry/src/process/serving.rs
+++ b/crates/godwitspool-entry/src/process/serving.rs
@@ -1,4 +1,4 @@
-//! State of the interactive path.
+//! State of the path for callers' interactive requests.
 
 use std::sync::{Arc, PoisonError, RwLock};
 
@@ -23,7 +23,7 @@
     },
 };
 
-/// State of the interactive path.
+/// State of the path for callers' interactive requests.
 #[derive(Debug)]
 pub(crate) struct Serving {
     clock: Clock,
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Returns the time.
+    /// Returns the time since the entry's start.
     pub(crate) fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Adds a step to the journal.
+    /// Appends a step of a request to the journal.
     pub(crate) fn record_step(&self, id: RequestId, step: Step) {
         self.journal.add(id, step, self.now());
     }
 
-    /// Counts and journals a refusal.
+    /// Counts a refusal in the metrics and appends it to the journal.
     pub(crate) fn record_refusal(&self, id: RequestId, refusal: &Refusal) {
         self.refusals.count(refusal.code());
         let step = Step::Refused {
@@ -79,10 +79,8 @@
         self.record_step(id, step);
     }
 
-    // -----------------------------------------------------------------------
-    // Other hosts
-
-    /// Takes the members of a view and returns them as they were before.
+    /// Takes over the members of a view, without those that are leaving, and returns the previous
+    /// ones.
     pub(crate) fn update_members(&self, view: &View, own: &HostName) -> Arc<Vec<HostName>> {
         let staying = view.members.iter().filter(|member| !member.leaving);
         let mut names: Vec<HostName> = staying.map(|member| member.host.clone()).collect();
@@ -94,13 +92,13 @@
         std::mem::replace(&mut *members, Arc::new(names))
     }
 
-    /// Returns the hosts that serve, this one among them.
+    /// Returns the hosts that aren't leaving. This host is always among them.
     pub(crate) fn members(&self) -> Arc<Vec<HostName>> {
         let members = self.members.read().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(&members)
     }
 
-    /// Returns the home host of a key.
+    /// Returns the home host of a key: the host that keeps its state.
     pub(crate) fn home(&self, shared: &Shared, key: u64) -> HostName {
         let members = self.members();
         let home = homes(key, &members, HostName::as_str, 1).first().copied();
@@ -108,7 +106,7 @@
     }
 }
 
-/// Asks a host, which may be this one; nothing when it can't be asked.
+/// Calls a host, which may be this one. Returns `None` when it can't be reached.
 pub(crate) fn call(
     shared: &Arc<Shared>,
     host: &HostName,
@@ -124,7 +122,7 @@
         Ok(EntryAnswer::Serving(answer)) => Some(answer),
         Ok(_) => None,
         Err(error) => {
-            log::debug!(host:%; "entry is not reached: {error}");
+            log::debug!(host:%; "cannot call the entry: {error}");
             None
         }
     }
--- a/crates/godwitspool-entry/src/process/shared.rs
+++ b/crates/godwitspool-entry/src/process/shared.rs
@@ -55,12 +55,13 @@
         }
     }
 
-    /// Returns the view as last heard.
+    /// Returns the latest view.
     pub(crate) fn view(&self) -> Arc<View> {
         Arc::clone(&self.view.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Replaces the view unless the new one is older; a configuration never reverts.
+    /// Replaces the view unless the new one is older. Another steward may be behind, and a
+    /// configuration must never revert.
     pub(crate) fn replace_view(&self, view: View) {
         let mut current = self.view.write().unwrap_or_else(PoisonError::into_inner);
         if view.offset >= current.offset {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Returns the client of a target's address.
+    /// Returns the client of a target's address, which is created on first use.
     pub(crate) fn client(&self, address: SocketAddr) -> TargetClient {
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         clients
@@ -77,10 +78,7 @@
             .clone()
     }
 
-    // -----------------------------------------------------------------------
-    // Work in progress
-
-    /// Returns this entry's requests in flight on a target.
+    /// Returns the number of this entry's requests in flight on a target.
     pub(crate) fn in_flight(&self, target: &TargetName) -> u32 {
         let counts = self
             .in_flight
@@ -89,13 +87,15 @@
         counts.get(target).copied().unwrap_or(0)
     }
 
-    /// Counts a request on a target until the guard is dropped.
+    /// Counts a request as in flight on a target, and in the target's load for routing, until the
+    /// guard is dropped.
     pub(crate) fn track_target(self: &Arc<Self>, target: &TargetName) -> TargetGuard {
         let id = self.serving.dispatch.begin(target);
         self.track_assigned(target, id)
     }
 
-    /// Counts a request on a target whose load it counts already, until the guard is dropped.
+    /// Counts a request as in flight on a target until the guard is dropped. Routing already counts
+    /// it in the load of `id`, which the guard also ends.
     pub(crate) fn track_assigned(
         self: &Arc<Self>,
         target: &TargetName,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Counts a caller's request until the guard is dropped.
+    /// Counts a caller's request as in progress until the guard is dropped.
     pub(crate) fn track_request(self: &Arc<Self>) -> RequestGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         RequestGuard {
@@ -125,10 +125,7 @@
         self.in_progress.load(Ordering::Acquire)
     }
 
-    // -----------------------------------------------------------------------
-    // End of the process
-
-    /// Stops to tell the balancer that the entry is ready; new requests are still served.
+    /// Makes the readiness page report that the entry isn't ready. New requests are still served.
     pub(crate) fn begin_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
@@ -155,7 +152,7 @@
     }
 }
 
-/// Counts a request on a target while it lives.
+/// Counts a request as in flight on a target while the guard lives.
 #[derive(Debug)]
 pub(crate) struct TargetGuard {
     id: Option<TargetId>,
@@ -180,7 +177,7 @@
     }
 }
 
-/// Counts a caller's request while it lives.
+/// Counts a caller's request as in progress while the guard lives.
 #[derive(Debug)]
 pub(crate) struct RequestGuard {
     shared: Arc<Shared>,
--- a/crates/godwitspool-entry/src/process/upkeep.rs
+++ b/crates/godwitspool-entry/src/process/upkeep.rs
@@ -1,5 +1,5 @@
-//! What the entry does by itself: follow the view, look at queues, read loads, renew parts of limits,
-//! report demand, have usage held.
+//! Background threads of the entry: apply new views, serve the queues, read loads, renew limit
+//! grants, report demand, send usage records.
 
 use std::{
     collections::BTreeSet,
@@ -22,56 +22,60 @@
     request::{idempotency, quota},
 };
 
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
-const LOAD_PAUSE: Duration = Duration::from_millis(250);
-const LIMIT_PAUSE: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const LOAD_INTERVAL: Duration = Duration::from_millis(250);
+const LIMIT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What one thread does until the entry stops.
-type Part = fn(&Arc<Shared>);
+/// The main function of a thread, which returns once the entry stops.
+type Task = fn(&Arc<Shared>);
 
-/// Starts the threads.
+/// Starts the background threads.
 pub(crate) fn start(shared: &Arc<Shared>) -> io::Result<Vec<JoinHandle<()>>> {
-    let parts: [(&str, Part); 5] = [
+    let tasks: [(&str, Task); 5] = [
         ("billing", billing::run),
         ("demand", demand::run),
         ("limits", renew),
         ("loads", read_loads),
-        ("view", watch),
+        ("view", follow_view),
     ];
-    let spawn = |(name, part): (&str, Part)| {
+    let spawn = |(name, task): (&str, Task)| {
         let shared = Arc::clone(shared);
         let thread = thread::Builder::new().name(name.to_owned());
-        thread.spawn(move || part(&shared))
+        thread.spawn(move || task(&shared))
     };
-    parts.into_iter().map(spawn).collect()
+    tasks.into_iter().map(spawn).collect()
 }
 
-/// Follows the view and looks at the queues.
-fn watch(shared: &Arc<Shared>) {
-    // Not the present view: that may have come in before this thread began.
+/// Applies new views, ends requests whose key is withdrawn and serves the queues.
+fn follow_view(shared: &Arc<Shared>) {
+    // Starts empty, so that a view that arrived before this thread started is applied too.
     let mut seen = Arc::new(View::default());
     while !shared.stopped() {
         let view = shared.view();
         let now = shared.serving.now();
         if view.revision != seen.revision || view.offset != seen.offset {
-            learn(shared, &view, &seen);
+            apply_view(shared, &view, &seen);
         } else if !Arc::ptr_eq(&view, &seen) {
             shared.serving.keys.confirm(Millis(view.age_ms), now);
         }
         shared.serving.keys.cancel_withdrawn(now);
         shared.serving.dispatch.tick(now);
         seen = view;
-        thread::sleep(LOOK_PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn learn(shared: &Arc<Shared>, view: &View, seen: &View) {
-    shared.serving.keys.learn(view, shared.serving.now());
-    shared.serving.dispatch.learn(view);
+/// Applies a view that differs from `seen`.
+///
+/// A host that is gone counts as lost only if neither view showed it as leaving: a leaving host
+/// hands over its idempotency keys itself.
+fn apply_view(shared: &Arc<Shared>, view: &View, seen: &View) {
+    shared.serving.keys.update(view, shared.serving.now());
+    shared.serving.dispatch.update_targets(view);
     let before = shared.serving.update_members(view, &shared.settings.host);
     let members = shared.serving.members();
     if before != members {
-        let left: BTreeSet<&HostName> = seen
+        let was_leaving: BTreeSet<&HostName> = seen
             .members
             .iter()
             .filter(|member| member.leaving)
@@ -82,7 +86,7 @@
                 .members
                 .iter()
                 .any(|member| member.leaving && member.host == **host);
-            !members.contains(host) && !left.contains(host) && !leaves
+            !members.contains(host) && !was_leaving.contains(host) && !leaves
         };
         let lost: Vec<HostName> = before.iter().filter(lost).cloned().collect();
         idempotency::update_members(shared, members.to_vec(), &lost);
@@ -92,11 +96,12 @@
 fn renew(shared: &Arc<Shared>) {
     while !shared.stopped() {
         quota::renew(shared);
-        pause(shared, LIMIT_PAUSE);
+        sleep_unless_stopped(shared, LIMIT_INTERVAL);
     }
 }
 
-/// Reads the loads of the engines of which this host is the reader, and tells the data centre.
+/// Reads the loads of the engines assigned to this host, and sends them to the other hosts of the
+/// data centre.
 fn read_loads(shared: &Arc<Shared>) {
     while !shared.stopped() {
         let view = shared.view();
@@ -106,21 +111,23 @@
             .filter(|member| member.dc == shared.settings.dc && !member.leaving)
             .map(|member| member.host.clone())
             .collect();
-        let loads = read_own(shared, &view, &readers);
+        let loads = read_assigned(shared, &view, &readers);
         shared.serving.dispatch.report(&loads);
         shared.rollouts.report(&loads);
         if !loads.is_empty() {
             for host in readers.iter().filter(|host| **host != shared.settings.host) {
-                let news = ServingRequest::Loads(loads.clone());
-                serving::call(shared, host, news);
+                let message = ServingRequest::Loads(loads.clone());
+                serving::call(shared, host, message);
             }
         }
-        pause(shared, LOAD_PAUSE);
+        sleep_unless_stopped(shared, LOAD_INTERVAL);
     }
 }
 
-fn read_own(shared: &Arc<Shared>, view: &View, readers: &[HostName]) -> Vec<TargetLoad> {
-    let own = |entry: &&TargetEntry| {
+/// Reads the loads of the engines in this data centre that rendezvous hashing over `readers`
+/// assigns to this host.
+fn read_assigned(shared: &Arc<Shared>, view: &View, readers: &[HostName]) -> Vec<TargetLoad> {
+    let is_assigned = |entry: &&TargetEntry| {
         let key = stable_hash(entry.target.as_str().as_bytes());
         let reader = homes(key, readers, HostName::as_str, 1).first().copied();
         let rules = view.configuration.services.get(&entry.service);
@@ -133,7 +140,7 @@
         let reads: Vec<_> = view
             .targets
             .iter()
-            .filter(own)
+            .filter(is_assigned)
             .map(|entry| scope.spawn(move || (entry, shared.client(entry.address).load())))
             .collect();
         let loads = reads.into_iter().filter_map(|read| {
@@ -149,11 +156,11 @@
     })
 }
 
-/// Sleeps in steps, so that the process ends soon.
-fn pause(shared: &Arc<Shared>, span: Duration) {
+/// Sleeps in short steps, so that the thread ends soon after the entry stops.
+fn sleep_unless_stopped(shared: &Arc<Shared>, span: Duration) {
     let mut left = span;
     while !shared.stopped() && !left.is_zero() {
-        let step = left.min(LOOK_PAUSE);
+        let step = left.min(POLL_INTERVAL);
         thread::sleep(step);
         left -= step;
     }
--- a/crates/godwitspool-entry/src/request/authorize.rs
+++ b/crates/godwitspool-entry/src/request/authorize.rs
@@ -38,7 +38,7 @@
 
 impl Keys {
     /// Takes the keys of a view.
-    pub(crate) fn learn(&self, view: &View, now: Millis) {
+    pub(crate) fn update(&self, view: &View, now: Millis) {
         let table = Arc::new(KeyTable::from(&*view.configuration));
         let mut known = self.known.write().unwrap_or_else(PoisonError::into_inner);
         *known = Known {
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -98,7 +98,7 @@
     // What is known of targets
 
     /// Takes the targets of a view.
-    pub(crate) fn learn(&self, view: &View) {
+    pub(crate) fn update_targets(&self, view: &View) {
         let mut state = self.lock();
         let hosts = view.members.iter().filter(|member| !member.leaving);
         state.targets.set_hosts(hosts.count() as u32);
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -188,13 +188,13 @@
     fn bill(&self, ending: &Result<Ending, Refusal>) {
         let tokens = self.stitch.tokens().len() as u64;
         if tokens > 0 || *ending == Ok(Ending::Whole) {
-            let got = AnswerUsage {
+            let usage = AnswerUsage {
                 request: self.admitted.work.id,
                 tokens,
             };
             self.shared
                 .billing
-                .count(&self.shared, &self.admitted.work.caller, got);
+                .record_and_wait(&self.shared, &self.admitted.work.caller, usage);
         }
     }
 
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -31,7 +31,7 @@
         Ok(answer) => respond(request, answer, id),
         Err(refusal) => {
             shared.serving.record_refusal(id, &refusal);
-            answer::refuse_as(request, &refusal, id);
+            answer::refuse_with_id(request, &refusal, id);
         }
     }
 }
@@ -116,8 +116,8 @@
 
 /// Parts the service's name from the path behind it.
 ///
-/// A workspace's own names have no slash. An open route has no workspace, so it goes by its qualified
-/// name, which has one.
+/// A workspace's own names have no slash. An open route has no workspace, so it goes by its
+/// qualified name, which has one.
 fn split_alias<'a>(rest: &'a str, open_routes: &BTreeSet<ServiceName>) -> (&'a str, &'a str) {
     let ends = |at: usize| rest[at..].is_empty() || rest[at..].starts_with(['/', '?']);
     let open = open_routes.iter().map(ServiceName::as_str);
@@ -154,11 +154,13 @@
         match attempt(prepared, shared, &mut admitted) {
             Ok(answer) => {
                 admitted.answered();
-                let got = AnswerUsage {
+                let usage = AnswerUsage {
                     request: prepared.work.id,
                     tokens: 0,
                 };
-                shared.billing.count(shared, &prepared.work.caller, got);
+                shared
+                    .billing
+                    .record_and_wait(shared, &prepared.work.caller, usage);
                 shared
                     .serving
                     .record_step(prepared.work.id, Step::Whole { tokens: 0 });
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -312,7 +312,7 @@
         };
         let request = RequestId::random();
         log::info!(request:%, trainer:%, step = handed.step.0; "batch is billed");
-        shared.billing.add(
+        shared.billing.enqueue(
             shared,
             &caller,
             AnswerUsage {
--- a/crates/godwitspool-entry/src/version/feed.rs
+++ b/crates/godwitspool-entry/src/version/feed.rs
@@ -1,4 +1,5 @@
-//! Follows the stewards' view: the own host's steward first, another while that one is silent.
+//! Follows the stewards' view. This host's own steward comes first; when a steward doesn't answer,
+//! the feed moves on to the next one of the data centre.
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -10,11 +11,11 @@
 
 use crate::process::shared::Shared;
 
-/// Longer than a steward holds a view request back.
+/// A steward delays its answer until the view changes; this is longer than its longest delay.
 const ANSWER_TIMEOUT: Millis = Millis(2_500);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Follows the stewards until the entry stops.
+/// Follows the stewards in turn until the entry stops.
 pub(crate) fn follow(shared: &Arc<Shared>) {
     let mut next = 0;
     while !shared.stopped() {
@@ -24,12 +25,12 @@
         follow_one(shared, &Link::new(address, bounds));
         next += 1;
         if !shared.stopped() {
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
     }
 }
 
-/// Lists the own steward, then the others of the data centre.
+/// Lists this host's steward, then the others of the data centre.
 fn stewards(shared: &Shared) -> Vec<SocketAddr> {
     let own = shared.settings.steward;
     let view = shared.view();
@@ -43,20 +44,27 @@
     [own].into_iter().chain(others).collect()
 }
 
+/// Follows one steward until it fails or the entry stops.
 fn follow_one(shared: &Arc<Shared>, link: &Link<StewardRequest, StewardAnswer>) {
-    let mut known = 0;
+    let mut known_revision = 0;
     while !shared.stopped() {
-        match link.call(&StewardRequest::View(known)) {
+        match link.call(&StewardRequest::View(known_revision)) {
             Ok(StewardAnswer::View(view)) => {
-                known = view.revision;
+                known_revision = view.revision;
                 shared.replace_view(*view);
             }
             Ok(answer) => {
-                log::info!("steward {} gave no view: {answer:?}", link.address());
+                log::info!(
+                    "steward {} did not answer with a view: {answer:?}",
+                    link.address()
+                );
                 return;
             }
             Err(error) => {
-                log::warn!("steward {} is not reached: {error}", link.address());
+                log::warn!(
+                    "cannot get the view from steward {}: {error}",
+                    link.address()
+                );
                 return;
             }
         }
--- a/crates/godwitspool-entry/src/version/mod.rs
+++ b/crates/godwitspool-entry/src/version/mod.rs
@@ -1,3 +1,3 @@
-//! What lives for one version of the view.
+//! State with the lifetime of one version of the view.
 
 pub(crate) mod feed;
