--- a/crates/godwitspool-entry/src/process/billing.rs
+++ b/crates/godwitspool-entry/src/process/billing.rs
@@ -1,7 +1,7 @@
 //! Billing of answered requests.
 //!
-//! Usage records go to this host's steward, which copies them to other hosts before it confirms them.
-//! The end of an answer is sent only after its record is confirmed, or after a timeout.
+//! Usage records go to this host's steward, which copies them to other hosts before it confirms
+//! them. The end of an answer is sent only after its record is confirmed, or after a timeout.
 
 use std::{
     net::SocketAddr,
@@ -83,19 +83,22 @@
         if caller.workspace.as_str().is_empty() {
             return;
         }
-        let sequence = self.enqueue(shared, caller, usage);
+        let sequence = self.queue_record(shared, caller, usage);
         let must_wait = |state: &mut State| state.held < sequence && !state.failing;
         let (state, _) = self
             .changed
             .wait_timeout_while(self.lock(), HOLD_TIMEOUT, must_wait)
             .unwrap_or_else(PoisonError::into_inner);
         if state.held < sequence {
-            log::warn!(request:% = usage.request; "answer ends before a steward holds its usage record");
+            log::warn!(
+                request:% = usage.request;
+                "answer ends before a steward holds its usage record"
+            );
         }
     }
 
     /// Queues a usage record without waiting, and returns its sequence number.
-    pub(crate) fn enqueue(&self, shared: &Shared, caller: &Caller, usage: AnswerUsage) -> u64 {
+    pub(crate) fn queue_record(&self, shared: &Shared, caller: &Caller, usage: AnswerUsage) -> u64 {
         let mut state = self.lock();
         state.last_sequence += 1;
         let sequence = state.last_sequence;
@@ -151,7 +154,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn is_empty(&self) -> bool {
+    fn all_held(&self) -> bool {
         self.lock().pending.is_empty()
     }
 }
@@ -160,7 +163,7 @@
 /// stopped and no steward takes the records, they are lost.
 pub(crate) fn run(shared: &Arc<Shared>) {
     let own = link(shared.settings.steward);
-    while !shared.stopped() || !shared.billing.is_empty() {
+    while !shared.stopped() || !shared.billing.all_held() {
         let batch = shared.billing.batch();
         if batch.is_empty() {
             continue;
@@ -168,7 +171,10 @@
         if hold(&own, &batch) || hold_on_other_hosts(shared, &batch) {
             shared.billing.mark_held(&batch);
         } else if shared.stopped() {
-            log::error!(records = batch.len(); "usage records lost: entry stopped before a steward accepted them");
+            log::error!(
+                records = batch.len();
+                "usage records lost: entry stopped before a steward accepted them"
+            );
             return;
         } else {
             shared.billing.mark_failing();
--- a/crates/godwitspool-entry/src/process/serving.rs
+++ b/crates/godwitspool-entry/src/process/serving.rs
@@ -66,7 +66,7 @@
 
     /// Appends a step of a request to the journal.
     pub(crate) fn record_step(&self, id: RequestId, step: Step) {
-        self.journal.add(id, step, self.now());
+        self.journal.append(id, step, self.now());
     }
 
     /// Counts a refusal in the metrics and appends it to the journal.
--- a/crates/godwitspool-entry/src/request/admitted.rs
+++ b/crates/godwitspool-entry/src/request/admitted.rs
@@ -1,4 +1,4 @@
-//! What plain calls and generations share: the way to a target, and what follows a failure.
+//! Admission, attempts and retries, shared by plain calls and generations.
 
 use std::{sync::Arc, thread, time::Duration};
 
@@ -11,28 +11,29 @@
     request::{
         dispatch::Assignment,
         journal::Step,
-        quota::{self, Counted},
+        quota::{self, QuotaGuard},
         suspicion,
         work::Work,
     },
 };
 
-/// Pause between two looks for a target with room, or for a trial.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+/// Time between two searches for a target with room, or two requests for a trial.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An attempt that failed.
 #[derive(Clone, Debug)]
-pub(crate) struct Failed {
-    pub(crate) after: Option<Millis>,
+pub(crate) struct FailedAttempt {
+    pub(crate) retry_delay: Option<Millis>,
     pub(crate) cause: String,
     pub(crate) health: Option<Health>,
     pub(crate) reason: RetryReason,
 }
 
-impl Failed {
-    /// Tells what a failed call says of its target. `flowing` is set once tokens came.
-    pub(crate) fn new(error: &CallError, flowing: bool, caller: u64) -> Self {
-        let lost = if flowing {
+impl FailedAttempt {
+    /// Derives the retry reason and the target's health from a failed call. `streaming` is set once
+    /// tokens have arrived.
+    pub(crate) fn new(error: &CallError, streaming: bool, caller: u64) -> Self {
+        let lost = if streaming {
             RetryReason::StreamBroken
         } else {
             RetryReason::TargetLost
@@ -42,17 +43,17 @@
             CallError::Status {
                 status: 429 | 503, ..
             } => (RetryReason::TargetRefused, None),
-            CallError::Silent { .. } if !flowing => {
+            CallError::Silent { .. } if !streaming => {
                 (RetryReason::TargetSilent, Some(Health::Failed(caller)))
             }
             _ => (lost, Some(Health::Failed(caller))),
         };
-        let after = match error {
+        let retry_delay = match error {
             CallError::Status { retry_after, .. } => retry_after.map(|s| Millis(s * 1_000)),
             _ => None,
         };
         Self {
-            after,
+            retry_delay,
             cause: error.to_string(),
             health,
             reason,
@@ -60,65 +61,65 @@
     }
 }
 
-/// A request that has been let through, on its present target.
+/// An admitted request and the target of its current attempt.
 #[derive(Debug)]
 pub(crate) struct AdmittedRequest {
-    _counted: Counted,
-    guard: Option<TargetGuard>,
-    pub(crate) on: Assignment,
+    _quota: QuotaGuard,
+    target_guard: Option<TargetGuard>,
+    pub(crate) assignment: Assignment,
     shared: Arc<Shared>,
     started: Millis,
-    trial: bool,
+    on_trial: bool,
     pub(crate) work: Work,
 }
 
 impl AdmittedRequest {
-    /// Lets a request through limits, quarantine and queue.
+    /// Takes a request through limits, quarantine and queue, and begins its first attempt.
     pub(crate) fn begin(shared: &Arc<Shared>, mut work: Work) -> Result<Self, Refusal> {
         let arrived = shared.serving.now();
-        let counted = quota::begin(shared, &work.caller.workspace)?;
-        let trial = enter(shared, &work)?;
-        let before = work.need.tried.clone();
-        if trial {
+        let quota_guard = quota::begin(shared, &work.caller.workspace)?;
+        let on_trial = wait_for_trial(shared, &work)?;
+        let previously_tried = work.need.tried.clone();
+        if on_trial {
             work.need.tried = shared.serving.suspicion.trial_targets();
         }
-        let on = shared.serving.dispatch.admit(&work, arrived);
-        let on = on.inspect_err(|_| {
-            if trial {
-                suspicion::leave(shared, work.need.fingerprint, false);
+        let assignment = shared.serving.dispatch.admit(&work, arrived);
+        let assignment = assignment.inspect_err(|_| {
+            if on_trial {
+                suspicion::end_trial(shared, work.need.fingerprint, false);
             }
         })?;
-        work.need.tried = before;
+        work.need.tried = previously_tried;
         let started = shared.serving.now();
         let waited_ms = (started - arrived).0;
         shared
             .serving
             .record_step(work.id, Step::Admitted { waited_ms });
         let mut admitted = Self {
-            _counted: counted,
-            guard: None,
-            on,
+            _quota: quota_guard,
+            target_guard: None,
+            assignment,
             shared: Arc::clone(shared),
             started,
-            trial,
+            on_trial,
             work,
         };
-        admitted.enter();
+        admitted.begin_attempt();
         Ok(admitted)
     }
 
-    /// Records that the present target answered.
+    /// Records that the current target answered.
     pub(crate) fn answered(&mut self) {
         let now = self.shared.serving.now();
         let dispatch = &self.shared.serving.dispatch;
-        dispatch.record(&self.work, &self.on, Health::Answered, now);
-        if std::mem::take(&mut self.trial) {
-            suspicion::leave(&self.shared, self.work.need.fingerprint, true);
+        dispatch.record(&self.work, &self.assignment, Health::Answered, now);
+        if std::mem::take(&mut self.on_trial) {
+            suspicion::end_trial(&self.shared, self.work.need.fingerprint, true);
         }
     }
 
-    /// Takes a failure: moves to another target, or returns the refusal.
-    pub(crate) fn fail(&mut self, failed: Failed) -> Result<(), Refusal> {
+    /// Handles a failed attempt: begins another attempt, or returns the refusal.
+    pub(crate) fn fail(&mut self, failed: FailedAttempt) -> Result<(), Refusal> {
         let serving = &self.shared.serving;
         let step = Step::Failed {
             cause: failed.cause,
@@ -127,46 +128,53 @@
         serving.record_step(self.work.id, step);
         if let Some(health) = failed.health {
             let now = serving.now();
-            serving.dispatch.record(&self.work, &self.on, health, now);
+            serving
+                .dispatch
+                .record(&self.work, &self.assignment, health, now);
         }
-        self.blame(failed.reason);
-        self.leave_target();
+        self.report_failure(failed.reason);
+        self.end_attempt();
         let verdict = self.shared.serving.dispatch.fail(
             &mut self.work,
-            &self.on.class,
+            &self.assignment.class,
             failed.reason,
-            failed.after,
+            failed.retry_delay,
             self.shared.serving.now(),
         );
         match verdict {
             Verdict::Refuse(refusal) => Err(refusal),
             Verdict::Retry(pause) => {
                 thread::sleep(pause.duration());
-                self.move_on(failed.reason)
+                self.retry_on_other_target(failed.reason)
             }
         }
     }
 
-    /// Gives the request more time, since its answer flows.
+    /// Extends the deadline of a request whose answer is already being streamed.
     pub(crate) fn extend(&mut self, span: Millis) {
         self.work.attempts.deadline = self.shared.serving.now() + span;
     }
 
-    // -----------------------------------------------------------------------
-
-    /// A target that broke off may have crashed by one of the requests in flight on it.
-    fn blame(&mut self, reason: RetryReason) {
+    /// Reports a crash if the target broke off, since one of the requests in flight on it may have
+    /// caused that. Any other failure ends a trial without a crash.
+    fn report_failure(&mut self, reason: RetryReason) {
         if matches!(reason, RetryReason::StreamBroken | RetryReason::TargetLost) {
-            let in_flight = self.shared.serving.dispatch.in_flight(self.on.id);
-            suspicion::crashed(&self.shared, self.on.id, &self.on.target, &in_flight);
-            self.trial = false;
-        } else if std::mem::take(&mut self.trial) {
-            suspicion::leave(&self.shared, self.work.need.fingerprint, false);
+            let in_flight = self.shared.serving.dispatch.in_flight(self.assignment.id);
+            suspicion::report_crash(
+                &self.shared,
+                self.assignment.id,
+                &self.assignment.target,
+                &in_flight,
+            );
+            self.on_trial = false;
+        } else if std::mem::take(&mut self.on_trial) {
+            suspicion::end_trial(&self.shared, self.work.need.fingerprint, false);
         }
     }
 
-    fn move_on(&mut self, reason: RetryReason) -> Result<(), Refusal> {
-        self.work.need.tried.push(self.on.id);
+    /// Begins an attempt on another target.
+    fn retry_on_other_target(&mut self, reason: RetryReason) -> Result<(), Refusal> {
+        self.work.need.tried.push(self.assignment.id);
         let refused = |refusal: Refusal| Refusal {
             ran: if self.work.attempts.touched {
                 godwitspool_types::Ran::Unknown
@@ -175,56 +183,57 @@
             },
             ..refusal
         };
-        self.trial = enter(&self.shared, &self.work).map_err(refused)?;
-        let on = find(&self.shared, &self.work, self.trial);
-        let on = on.map_err(|reason| {
-            if self.trial {
-                suspicion::leave(&self.shared, self.work.need.fingerprint, false);
+        self.on_trial = wait_for_trial(&self.shared, &self.work).map_err(refused)?;
+        let assignment = wait_for_target(&self.shared, &self.work, self.on_trial);
+        let assignment = assignment.map_err(|reason| {
+            if self.on_trial {
+                suspicion::end_trial(&self.shared, self.work.need.fingerprint, false);
             }
             refused(reason.into())
         })?;
-        self.on = on;
+        self.assignment = assignment;
         self.shared.serving.retries.count(reason.code());
-        self.enter();
+        self.begin_attempt();
         Ok(())
     }
 
-    fn enter(&mut self) {
-        if self.trial {
-            let print = self.work.need.fingerprint;
+    /// Records the attempt and counts it on its target.
+    fn begin_attempt(&mut self) {
+        if self.on_trial {
+            let request_fingerprint = self.work.need.fingerprint;
             self.shared.serving.record_step(self.work.id, Step::Trial);
             self.shared
                 .serving
                 .suspicion
-                .record_trial(self.on.id, print);
+                .record_trial(self.assignment.id, request_fingerprint);
         }
-        let guard = self
+        let target_guard = self
             .shared
-            .track_assigned(&self.on.target, Some(self.on.id));
-        self.guard = Some(guard);
+            .track_assigned(&self.assignment.target, Some(self.assignment.id));
+        self.target_guard = Some(target_guard);
         let step = Step::Sent {
             attempt: self.work.attempts.retried + self.work.attempts.resumed,
-            target: self.on.target.clone(),
+            target: self.assignment.target.clone(),
         };
         self.shared.serving.record_step(self.work.id, step);
     }
 
-    fn leave_target(&mut self) {
-        if self.guard.take().is_some() {
-            let print = self.work.need.fingerprint;
+    fn end_attempt(&mut self) {
+        if self.target_guard.take().is_some() {
+            let request_fingerprint = self.work.need.fingerprint;
             self.shared
                 .serving
                 .dispatch
-                .remove_in_flight(self.on.id, print);
+                .remove_in_flight(self.assignment.id, request_fingerprint);
         }
     }
 }
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        self.leave_target();
-        if self.trial {
-            suspicion::leave(&self.shared, self.work.need.fingerprint, false);
+        self.end_attempt();
+        if self.on_trial {
+            suspicion::end_trial(&self.shared, self.work.need.fingerprint, false);
         }
         let now = self.shared.serving.now();
         let held = now - self.started;
@@ -232,43 +241,48 @@
     }
 }
 
-/// Waits until a suspect may be tried; tells whether the request is on trial.
-fn enter(shared: &Arc<Shared>, work: &Work) -> Result<bool, Refusal> {
+/// Waits until a suspect may run. Returns whether the request is on trial.
+fn wait_for_trial(shared: &Arc<Shared>, work: &Work) -> Result<bool, Refusal> {
     loop {
-        match suspicion::enter(shared, work.need.fingerprint) {
+        match suspicion::request_trial(shared, work.need.fingerprint) {
             Err(refusal)
                 if refusal.reason == Reason::SuspectBusy
                     && shared.serving.now() < work.attempts.deadline =>
             {
-                thread::sleep(LOOK_PAUSE);
+                thread::sleep(POLL_INTERVAL);
             }
             outcome => return outcome,
         }
     }
 }
 
-/// Looks for another target until the deadline; targets that were tried come last.
-fn find(shared: &Arc<Shared>, work: &Work, trial: bool) -> Result<Assignment, Reason> {
+/// Waits for another target with room until the deadline. Targets that were tried before are chosen
+/// only if there is no other.
+fn wait_for_target(
+    shared: &Arc<Shared>,
+    work: &Work,
+    on_trial: bool,
+) -> Result<Assignment, Reason> {
     let dispatch = &shared.serving.dispatch;
     loop {
         let now = shared.serving.now();
-        let trials = if trial {
+        let avoided = if on_trial {
             shared.serving.suspicion.trial_targets()
         } else {
             Vec::new()
         };
         let mut need = work.need.clone();
-        need.tried.extend(&trials);
+        need.tried.extend(&avoided);
         let mut found = dispatch.choose(&need, now);
         if found
             .as_ref()
             .is_err_and(|reason| *reason == Reason::NoTarget)
         {
-            need.tried = trials;
+            need.tried = avoided;
             found = dispatch.choose(&need, now);
         }
         match found {
-            Err(_) if now < work.attempts.deadline => thread::sleep(LOOK_PAUSE),
+            Err(_) if now < work.attempts.deadline => thread::sleep(POLL_INTERVAL),
             found => return found,
         }
     }
--- a/crates/godwitspool-entry/src/request/authorize.rs
+++ b/crates/godwitspool-entry/src/request/authorize.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, and which of the open requests are cut when a key is withdrawn.
+//! Finds the caller of a request by its key, and ends open requests whose key is withdrawn.
 
 use std::{
     collections::HashMap,
@@ -15,110 +15,110 @@
 
 const BEARER: &str = "Bearer ";
 
-/// The keys in force and the requests that are open under them.
+/// The keys in force and the open requests that use them.
 #[derive(Debug, Default)]
 pub(crate) struct Keys {
-    known: RwLock<Known>,
-    open: Mutex<HashMap<RequestId, Open>>,
+    state: RwLock<KeyState>,
+    open: Mutex<HashMap<RequestId, OpenRequest>>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Known {
-    /// Time at which the configuration was last confirmed, on this host's clock.
+struct KeyState {
+    /// Time on this host's clock at which the configuration was last confirmed.
     confirmed: Millis,
     ready: bool,
     table: Arc<KeyTable>,
 }
 
 #[derive(Debug)]
-struct Open {
-    cut: Arc<AtomicBool>,
+struct OpenRequest {
+    withdrawn: Arc<AtomicBool>,
     digest: KeyDigest,
 }
 
 impl Keys {
-    /// Takes the keys of a view.
+    /// Takes over the keys of a view.
     pub(crate) fn update(&self, view: &View, now: Millis) {
         let table = Arc::new(KeyTable::from(&*view.configuration));
-        let mut known = self.known.write().unwrap_or_else(PoisonError::into_inner);
-        *known = Known {
+        let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
+        *state = KeyState {
             confirmed: now - Millis(view.age_ms),
             ready: true,
             table,
         };
     }
 
-    /// Takes the age of the configuration.
+    /// Takes over the age of a configuration that hasn't changed.
     pub(crate) fn confirm(&self, age: Millis, now: Millis) {
-        let mut known = self.known.write().unwrap_or_else(PoisonError::into_inner);
-        known.confirmed = known.confirmed.max(now - age);
+        let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
+        state.confirmed = state.confirmed.max(now - age);
     }
 
-    /// Finds the caller of a request.
+    /// Returns the caller of a request, or why it is refused.
     pub(crate) fn check(
         &self,
         digest: Option<&KeyDigest>,
         service: &ServiceName,
         now: Millis,
     ) -> Result<Caller, Reason> {
-        let known = self.known();
-        if !known.ready {
+        let state = self.state();
+        if !state.ready {
             return Err(Reason::NotReady);
         }
-        known.table.check(digest, service, now - known.confirmed)
+        state.table.check(digest, service, now - state.confirmed)
     }
 
-    /// Watches an open request; the guard tells when it is cut.
+    /// Registers an open request. The guard says whether its key has been withdrawn.
     pub(crate) fn open(self: &Arc<Self>, id: RequestId, digest: Option<KeyDigest>) -> OpenGuard {
-        let cut = Arc::new(AtomicBool::new(false));
+        let withdrawn = Arc::new(AtomicBool::new(false));
         if let Some(digest) = digest {
-            let open = Open {
-                cut: Arc::clone(&cut),
+            let open = OpenRequest {
+                withdrawn: Arc::clone(&withdrawn),
                 digest,
             };
             self.open_requests().insert(id, open);
         }
         OpenGuard {
-            cut,
+            withdrawn,
             id,
             keys: Arc::clone(self),
         }
     }
 
-    /// Cuts the open requests whose key doesn't hold any more.
+    /// Marks the open requests whose key is no longer in force, so that they end.
     pub(crate) fn cancel_withdrawn(&self, now: Millis) {
-        let known = self.known();
+        let state = self.state();
         let open = self.open_requests();
-        let listed: Vec<_> = open.iter().map(|(&id, open)| (id, open.digest)).collect();
-        for id in known.table.cut(&listed, now - known.confirmed) {
+        let requests: Vec<_> = open.iter().map(|(&id, open)| (id, open.digest)).collect();
+        for id in state.table.cut(&requests, now - state.confirmed) {
             if let Some(open) = open.get(&id) {
-                open.cut.store(true, Ordering::Release);
+                open.withdrawn.store(true, Ordering::Release);
             }
         }
     }
 
-    fn known(&self) -> Known {
-        let known = self.known.read().unwrap_or_else(PoisonError::into_inner);
-        known.clone()
+    fn state(&self) -> KeyState {
+        let state = self.state.read().unwrap_or_else(PoisonError::into_inner);
+        state.clone()
     }
 
-    fn open_requests(&self) -> std::sync::MutexGuard<'_, HashMap<RequestId, Open>> {
+    fn open_requests(&self) -> std::sync::MutexGuard<'_, HashMap<RequestId, OpenRequest>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Watches an open request while it lives.
+/// Keeps an open request registered.
 #[derive(Debug)]
 pub(crate) struct OpenGuard {
-    cut: Arc<AtomicBool>,
+    withdrawn: Arc<AtomicBool>,
     id: RequestId,
     keys: Arc<Keys>,
 }
 
 impl OpenGuard {
-    /// Tells whether the request's key was withdrawn.
+    /// Returns whether the request's key was withdrawn.
     pub(crate) fn is_withdrawn(&self) -> bool {
-        self.cut.load(Ordering::Acquire)
+        self.withdrawn.load(Ordering::Acquire)
     }
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// Returns the digest of the key that came with a request.
+/// Returns the digest of the key in a request's `Authorization` header.
 pub(crate) fn digest_of(request: &Request) -> Option<KeyDigest> {
     let text = header_of(request, "Authorization")?;
     let key = Key::from(text.strip_prefix(BEARER)?.trim());
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -1,4 +1,4 @@
-//! Admission and routing of the requests of this entry, behind one lock.
+//! Admission and routing of this entry's requests, behind one lock.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -24,10 +24,10 @@
     request::work::Work,
 };
 
-/// Slots of a target whose service isn't configured.
+/// Slots of each target of a service without rules in the configuration.
 const DEFAULT_SLOTS: u32 = 16;
 
-/// A target that a request was given.
+/// The target to which a request is assigned.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     pub(crate) address: SocketAddr,
@@ -36,10 +36,12 @@
     pub(crate) target: TargetName,
 }
 
-/// Paces of the reads from one target.
+/// Adaptive idle timeouts of reads from one target.
 #[derive(Clone, Debug)]
 pub(crate) struct IdleTimeouts {
+    /// Timeout for the first byte of an answer.
     pub(crate) first: Pace,
+    /// Timeout for each further byte.
     pub(crate) next: Pace,
 }
 
@@ -52,7 +54,7 @@
     }
 }
 
-/// A request that waits for its start.
+/// A request that waits in the queue.
 #[derive(Debug)]
 struct Waiter {
     need: Need,
@@ -64,8 +66,11 @@
 struct State {
     addresses: HashMap<TargetName, SocketAddr>,
     admissions: BTreeMap<ServiceName, Admission>,
+    /// Retry budgets by workspace.
     budgets: BTreeMap<Workspace, RetryBudget>,
+    /// Retry budgets by target class.
     classes: BTreeMap<ClassName, RetryBudget>,
+    /// Fingerprints of the requests in flight, by target.
     in_flight: HashMap<TargetId, Vec<u64>>,
     idle_timeouts: HashMap<TargetName, IdleTimeouts>,
     targets: Targets,
@@ -94,16 +99,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // -----------------------------------------------------------------------
-    // What is known of targets
-
-    /// Takes the targets of a view.
+    /// Takes over the targets of a view.
     pub(crate) fn update_targets(&self, view: &View) {
         let mut state = self.lock();
         let hosts = view.members.iter().filter(|member| !member.leaving);
         state.targets.set_hosts(hosts.count() as u32);
-        let known: Vec<TargetName> = state.targets.names().cloned().collect();
-        for name in known {
+        let known_names: Vec<TargetName> = state.targets.names().cloned().collect();
+        for name in known_names {
             if !view.targets.iter().any(|entry| entry.target == name) {
                 state.targets.remove(&name);
                 state.addresses.remove(&name);
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Takes load reports.
+    /// Takes over load reports of targets.
     pub(crate) fn report(&self, loads: &[TargetLoad]) {
         let mut state = self.lock();
         for load in loads {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Returns the paces of a target's reads.
+    /// Returns the idle timeouts of reads from a target.
     pub(crate) fn idle_timeouts(&self, target: &TargetName) -> IdleTimeouts {
         self.lock()
             .idle_timeouts
@@ -137,17 +139,14 @@
             .unwrap_or_default()
     }
 
-    /// Keeps the paces that a stream has shown.
+    /// Stores a target's idle timeouts after a read has updated them.
     pub(crate) fn set_idle_timeouts(&self, target: &TargetName, idle_timeouts: IdleTimeouts) {
         self.lock()
             .idle_timeouts
             .insert(target.clone(), idle_timeouts);
     }
 
-    // -----------------------------------------------------------------------
-    // Admission
-
-    /// Waits until a request may start and returns its target.
+    /// Queues a request until it may start, and returns its target.
     pub(crate) fn admit(&self, work: &Work, now: Millis) -> Result<Assignment, Refusal> {
         let (sender, answer) = mpsc::channel();
         let mut state = self.lock();
@@ -166,22 +165,22 @@
             share: work.share,
             workspace: work.caller.workspace.clone(),
         };
-        state.pump(&work.caller.service, AdmissionEvent::Arrive(ticket), now);
+        state.handle_event(&work.caller.service, AdmissionEvent::Arrive(ticket), now);
         drop(state);
-        let patience = (work.deadline - now).duration();
-        answer.recv_timeout(patience).unwrap_or_else(|_| {
+        let queue_timeout = (work.deadline - now).duration();
+        answer.recv_timeout(queue_timeout).unwrap_or_else(|_| {
             let mut state = self.lock();
             state.waiters.remove(&work.id);
             let withdrawn = AdmissionEvent::Withdraw(work.id);
-            state.pump(&work.caller.service, withdrawn, now);
-            // The start may have been decided while the lock was waited for.
+            state.handle_event(&work.caller.service, withdrawn, now);
+            // The request may have been started while this thread waited for the lock.
             answer
                 .try_recv()
                 .unwrap_or(Err(Reason::QueueExpired.into()))
         })
     }
 
-    /// Chooses another target for a request that was admitted before.
+    /// Assigns another target to a request that was admitted before.
     pub(crate) fn choose(&self, need: &Need, now: Millis) -> Result<Assignment, Reason> {
         let mut state = self.lock();
         match state.targets.choose(need, now) {
@@ -191,14 +190,14 @@
         }
     }
 
-    /// Ends a request that was admitted.
+    /// Ends an admitted request, which held its slot for `held`.
     pub(crate) fn finish(&self, work: &Work, held: Millis, now: Millis) {
         let workspace = work.caller.workspace.clone();
         let done = AdmissionEvent::Done { held, workspace };
-        self.lock().pump(&work.caller.service, done, now);
+        self.lock().handle_event(&work.caller.service, done, now);
     }
 
-    /// Looks at every queue again.
+    /// Starts or expires waiting requests in every queue.
     pub(crate) fn tick(&self, now: Millis) {
         let mut state = self.lock();
         let waiting: Vec<ServiceName> = state
@@ -208,14 +207,11 @@
             .map(|(service, _)| service.clone())
             .collect();
         for service in waiting {
-            state.pump(&service, AdmissionEvent::Tick, now);
+            state.handle_event(&service, AdmissionEvent::Tick, now);
         }
     }
 
-    // -----------------------------------------------------------------------
-    // Work on targets
-
-    /// Counts work on a target that was chosen by others than this.
+    /// Adds a sample that the rollouts placed on a target to the target's load.
     pub(crate) fn begin(&self, target: &TargetName) -> Option<TargetId> {
         let mut state = self.lock();
         let id = state.targets.find(target)?;
@@ -223,19 +219,22 @@
         Some(id)
     }
 
-    /// Counts work off a target.
+    /// Removes a request or sample from a target's load.
     pub(crate) fn end(&self, id: TargetId) {
         self.lock().targets.end(id);
     }
 
-    /// Counts a fingerprint off a target.
-    pub(crate) fn remove_in_flight(&self, id: TargetId, print: u64) {
+    /// Removes a request from those in flight on a target.
+    pub(crate) fn remove_in_flight(&self, id: TargetId, request_fingerprint: u64) {
         let mut state = self.lock();
-        if let Some(prints) = state.in_flight.get_mut(&id) {
-            if let Some(index) = prints.iter().position(|other| *other == print) {
-                prints.swap_remove(index);
+        if let Some(fingerprints) = state.in_flight.get_mut(&id) {
+            if let Some(index) = fingerprints
+                .iter()
+                .position(|other| *other == request_fingerprint)
+            {
+                fingerprints.swap_remove(index);
             }
-            if prints.is_empty() {
+            if fingerprints.is_empty() {
                 state.in_flight.remove(&id);
             }
         }
@@ -246,7 +245,8 @@
         self.lock().in_flight.get(&id).cloned().unwrap_or_default()
     }
 
-    /// Records how an attempt went.
+    /// Records the outcome of an attempt in the target's health and, on success, in the retry
+    /// budgets.
     pub(crate) fn record(&self, work: &Work, on: &Assignment, health: Health, now: Millis) {
         let mut state = self.lock();
         state.targets.record(on.id, health, now, &mut rand::rng());
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides whether a request is retried after a failed attempt.
     pub(crate) fn fail(
         &self,
         work: &mut Work,
@@ -274,15 +274,15 @@
             budgets, classes, ..
         } = &mut *state;
         let workspace = work.caller.workspace.clone();
-        let both = [
+        let retry_budgets = [
             budgets.entry(workspace).or_default(),
             classes.entry(class.clone()).or_default(),
         ];
         work.attempts
-            .fail(reason, after, both, now, &mut rand::rng())
+            .fail(reason, after, retry_budgets, now, &mut rand::rng())
     }
 
-    /// Returns how much runs and waits, by service.
+    /// Returns the number of running and waiting requests by service.
     pub(crate) fn loads(&self) -> Loads {
         let state = self.lock();
         let load = |admission: &Admission| Load {
@@ -295,7 +295,7 @@
             .collect()
     }
 
-    /// Returns requests that run and wait, by service.
+    /// Returns the number of running and waiting requests by service, for operators.
     pub(crate) fn status(&self) -> serde_json::Value {
         let state = self.lock();
         let services = state.admissions.iter().map(|(service, admission)| {
@@ -310,8 +310,8 @@
 }
 
 impl State {
-    /// Carries an event through admission, and starts what may start as long as there is room.
-    fn pump(&mut self, service: &ServiceName, event: AdmissionEvent, now: Millis) {
+    /// Passes an event to admission, and starts requests as long as targets have room.
+    fn handle_event(&mut self, service: &ServiceName, event: AdmissionEvent, now: Millis) {
         let probe = Need {
             resumable: true,
             service: service.clone(),
@@ -324,7 +324,7 @@
             let admission = self.admissions.entry(service.clone()).or_default();
             for action in admission.decide(event, free, now) {
                 match action {
-                    AdmissionAction::Refuse(id, refusal) => self.tell(id, Err(refusal)),
+                    AdmissionAction::Refuse(id, refusal) => self.notify(id, Err(refusal)),
                     AdmissionAction::Start(id) => {
                         next = Some(self.start(id, room, now));
                     }
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Gives a request its target, and returns the event that follows.
+    /// Assigns a target to an admitted request, and returns the next event for admission.
     fn start(&mut self, request: RequestId, room: Choice, now: Millis) -> AdmissionEvent {
         let Some(waiter) = self.waiters.get(&request) else {
             return AdmissionEvent::Tick;
@@ -347,9 +347,9 @@
             Choice::Target(id) => self.assign(id, &need),
             _ => None,
         };
-        let lost = assigned.is_none();
-        self.tell(request, assigned.ok_or(Reason::NoTarget.into()));
-        if lost {
+        let unassigned = assigned.is_none();
+        self.notify(request, assigned.ok_or(Reason::NoTarget.into()));
+        if unassigned {
             let held = Millis::ZERO;
             return AdmissionEvent::Done { held, workspace };
         }
@@ -370,12 +370,14 @@
         })
     }
 
-    fn tell(&mut self, request: RequestId, outcome: Result<Assignment, Refusal>) {
+    /// Wakes the thread of a waiting request. When that thread has given up, the target's load is
+    /// reduced again.
+    fn notify(&mut self, request: RequestId, outcome: Result<Assignment, Refusal>) {
         let Some(waiter) = self.waiters.remove(&request) else {
             return;
         };
-        if let Err(mpsc::SendError(Ok(lost))) = waiter.sender.send(outcome) {
-            self.targets.end(lost.id);
+        if let Err(mpsc::SendError(Ok(unassigned))) = waiter.sender.send(outcome) {
+            self.targets.end(unassigned.id);
         }
     }
 }
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -1,4 +1,5 @@
-//! Generation requests: streamed to the caller from one engine, or from several in turn.
+//! Generation requests, streamed to the caller. When an engine fails, another one resumes the
+//! answer.
 
 use std::{io::Read, sync::Arc};
 
@@ -6,7 +7,7 @@
     CallError, TargetClient,
     engine::{Chunk, Finish, Generate},
 };
-use godwitspool_request::{Piece, Reason, Refusal as Decided, Stitch, Stitched};
+use godwitspool_request::{Piece, Reason, Refusal as PolicyRefusal, Stitch, Stitched};
 use godwitspool_types::{Millis, Ran, RequestId};
 use tiny_http::Request;
 
@@ -14,7 +15,7 @@
     connection::answer::Responder,
     process::{billing::AnswerUsage, shared::Shared},
     request::{
-        admitted::{AdmittedRequest, Failed},
+        admitted::{AdmittedRequest, FailedAttempt},
         authorize::{self, OpenGuard},
         dispatch::IdleTimeouts,
         journal::Step,
@@ -25,38 +26,38 @@
 
 const PATH: &str = "/v1/chat/completions";
 
-/// Answers a generation request.
+/// Serves a generation request.
 pub(crate) fn handle(mut request: Request, shared: &Arc<Shared>) {
     let id = RequestId::random();
     let prepared = prepare(&mut request, shared, id);
     let mut responder = Responder::new(request, id, Arc::clone(shared));
-    let ending = prepared.and_then(|prepared| {
+    let end = prepared.and_then(|prepared| {
         let admitted = AdmittedRequest::begin(shared, prepared.work.clone())?;
         let mut generation = Generation {
             responder: &mut responder,
             generate: prepared.generate,
             open: prepared.open,
             shared: Arc::clone(shared),
-            span: prepared.span,
-            stitch: Stitch::default(),
+            time_limit: prepared.time_limit,
+            assembler: Stitch::default(),
             admitted,
         };
-        let ending = generation.run();
-        generation.bill(&ending);
-        ending
+        let end = generation.run();
+        generation.record_usage(&end);
+        end
     });
-    match ending {
-        Ok(Ending::Left) => {}
-        Ok(Ending::Whole) => responder.finish(),
+    match end {
+        Ok(GenerationEnd::CallerLeft) => {}
+        Ok(GenerationEnd::Complete) => responder.finish(),
         Err(refusal) => responder.refuse(&refusal),
     }
 }
 
-/// A request whose caller is known.
+/// A request that is authorized and parsed.
 struct Prepared {
     generate: Generate,
     open: OpenGuard,
-    span: Millis,
+    time_limit: Millis,
     work: Work,
 }
 
@@ -91,28 +92,28 @@
         generate.model = rules.model.clone();
     }
     generate.stream = true;
-    let print = work::fingerprint(&caller.service, PATH, &body);
-    let work = Work::new(id, caller, print, &view.configuration, now);
+    let request_fingerprint = work::fingerprint(&caller.service, PATH, &body);
+    let work = Work::new(id, caller, request_fingerprint, &view.configuration, now);
     Ok(Prepared {
         generate,
         open,
-        span: work.deadline - now,
+        time_limit: work.deadline - now,
         work,
     })
 }
 
-/// Reads the body of a request.
+/// Reads the body of a request, up to the limit in the settings.
 pub(crate) fn read_body(request: &mut Request, shared: &Shared) -> Result<Vec<u8>, Refusal> {
-    let most = u64::from(shared.settings.body_bytes);
+    let max_bytes = u64::from(shared.settings.body_bytes);
     let mut body = Vec::new();
     request
         .as_reader()
-        .take(most + 1)
+        .take(max_bytes + 1)
         .read_to_end(&mut body)
         .map_err(|error| Refusal::BadBody {
             message: error.to_string(),
         })?;
-    if body.len() as u64 > most {
+    if body.len() as u64 > max_bytes {
         return Err(Reason::BodyTooLarge.into());
     }
     Ok(body)
@@ -120,74 +121,76 @@
 
 /// How a generation ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ending {
-    /// The caller went away.
-    Left,
-    /// The answer is whole, but for its end.
-    Whole,
+enum GenerationEnd {
+    /// The caller closed the connection.
+    CallerLeft,
+    /// All tokens were sent; the terminator is still to be sent.
+    Complete,
 }
 
-/// How an attempt ended.
-enum Ended {
-    /// The key was withdrawn.
-    Cut,
-    Failed(Failed),
-    /// The caller went away.
-    Left,
-    /// The engine says that the request is wrong.
-    Wrong(String),
-    Whole,
+/// How one attempt of a generation ended.
+enum AttemptEnd {
+    /// The request's key was withdrawn.
+    KeyWithdrawn,
+    Failed(FailedAttempt),
+    /// The caller closed the connection.
+    CallerLeft,
+    /// The engine rejected the request as invalid.
+    Rejected(String),
+    Complete,
 }
 
-/// A generation under way.
+/// A generation in progress.
 struct Generation<'a> {
     responder: &'a mut Responder,
     generate: Generate,
     open: OpenGuard,
     shared: Arc<Shared>,
-    span: Millis,
-    stitch: Stitch,
+    /// Time for the whole request, counted anew when an attempt fails after tokens have arrived.
+    time_limit: Millis,
+    assembler: Stitch,
     admitted: AdmittedRequest,
 }
 
 impl Generation<'_> {
-    fn run(&mut self) -> Result<Ending, Refusal> {
+    fn run(&mut self) -> Result<GenerationEnd, Refusal> {
         let mut attempt = 0;
         loop {
             match self.attempt(attempt) {
-                Ended::Whole => {
+                AttemptEnd::Complete => {
                     self.admitted.answered();
-                    let tokens = self.stitch.tokens().len() as u32;
+                    let tokens = self.assembler.tokens().len() as u32;
                     self.shared
                         .serving
                         .record_step(self.admitted.work.id, Step::Whole { tokens });
-                    return Ok(Ending::Whole);
+                    return Ok(GenerationEnd::Complete);
                 }
-                Ended::Left => return Ok(Ending::Left),
-                Ended::Cut => return Err(Reason::KeyWithdrawnMidway.into()),
-                Ended::Wrong(message) => {
-                    log::info!("engine refuses a request: {message}");
-                    let refusal = Decided {
+                AttemptEnd::CallerLeft => return Ok(GenerationEnd::CallerLeft),
+                AttemptEnd::KeyWithdrawn => return Err(Reason::KeyWithdrawnMidway.into()),
+                AttemptEnd::Rejected(message) => {
+                    log::info!("engine rejected a request as invalid: {message}");
+                    let refusal = PolicyRefusal {
                         ran: Ran::Ran,
                         ..Reason::RequestInvalid.into()
                     };
                     return Err(refusal.into());
                 }
-                Ended::Failed(failed) => {
-                    if !self.stitch.tokens().is_empty() {
-                        self.admitted.extend(self.span);
+                AttemptEnd::Failed(failed) => {
+                    if !self.assembler.tokens().is_empty() {
+                        self.admitted.extend(self.time_limit);
                     }
                     self.admitted.fail(failed)?;
-                    attempt = self.stitch.restart();
+                    attempt = self.assembler.restart();
                 }
             }
         }
     }
 
-    /// Counts what the caller got. A whole answer's end waits until other hosts hold the count.
-    fn bill(&self, ending: &Result<Ending, Refusal>) {
-        let tokens = self.stitch.tokens().len() as u64;
-        if tokens > 0 || *ending == Ok(Ending::Whole) {
+    /// Bills the tokens sent to the caller. Waits for a bounded time until a steward holds the
+    /// usage record, since the caller of [`run`](Self::run) ends the answer afterwards.
+    fn record_usage(&self, end: &Result<GenerationEnd, Refusal>) {
+        let tokens = self.assembler.tokens().len() as u64;
+        if tokens > 0 || *end == Ok(GenerationEnd::Complete) {
             let usage = AnswerUsage {
                 request: self.admitted.work.id,
                 tokens,
@@ -198,108 +201,116 @@
         }
     }
 
-    fn attempt(&mut self, attempt: u32) -> Ended {
-        let target = self.admitted.on.target.clone();
+    fn attempt(&mut self, attempt: u32) -> AttemptEnd {
+        let target = self.admitted.assignment.target.clone();
         let mut idle_timeouts = self.shared.serving.dispatch.idle_timeouts(&target);
-        let ended = self.read(attempt, &mut idle_timeouts);
+        let ended = self.read_stream(attempt, &mut idle_timeouts);
         self.shared
             .serving
             .dispatch
             .set_idle_timeouts(&target, idle_timeouts);
         if let Err(CallError::Silent { .. }) = &ended {
-            // Its siblings in the pool may be as dead; the next request opens a new one.
+            // Other pooled connections to the target may be dead too, so the next request opens a
+            // new one.
             self.shared
-                .client(self.admitted.on.address)
+                .client(self.admitted.assignment.address)
                 .condemn_pooled();
         }
         match ended {
             Ok(ended) => ended,
-            // Every token has come; only the terminator is missing.
-            Err(_) if self.stitch.is_finished() => Ended::Whole,
+            // All tokens have arrived and only the terminator is missing.
+            Err(_) if self.assembler.is_finished() => AttemptEnd::Complete,
             Err(CallError::Status {
                 status: 400..=428 | 430..=499,
                 message,
                 ..
-            }) => Ended::Wrong(message),
+            }) => AttemptEnd::Rejected(message),
             Err(error) => {
-                let flowing = !self.stitch.tokens().is_empty();
+                let streaming = !self.assembler.tokens().is_empty();
                 let caller = self.admitted.work.need.caller;
-                Ended::Failed(Failed::new(&error, flowing, caller))
+                AttemptEnd::Failed(FailedAttempt::new(&error, streaming, caller))
             }
         }
     }
 
-    /// Reads one engine's stream.
-    fn read(&mut self, attempt: u32, idle_timeouts: &mut IdleTimeouts) -> Result<Ended, CallError> {
+    /// Reads one engine's stream and forwards it to the caller.
+    fn read_stream(
+        &mut self,
+        attempt: u32,
+        idle_timeouts: &mut IdleTimeouts,
+    ) -> Result<AttemptEnd, CallError> {
         self.generate.request = format!("{}-{attempt}", self.admitted.work.id);
-        self.generate.resume = self.stitch.tokens().to_vec();
+        self.generate.resume = self.assembler.tokens().to_vec();
         let serving = &self.shared.serving;
-        let mut heard = serving.now();
-        let patience = self.admitted.work.first_byte_timeout(heard);
+        let mut last_chunk_at = serving.now();
+        let first_timeout = self.admitted.work.first_byte_timeout(last_chunk_at);
         let client = self.client();
-        let mut stream =
-            client.generate(&self.generate, idle_timeouts.first.bound().min(patience))?;
+        let mut stream = client.generate(
+            &self.generate,
+            idle_timeouts.first.bound().min(first_timeout),
+        )?;
         let mut first = true;
         loop {
             let chunk = stream.next_chunk()?;
             let now = self.shared.serving.now();
             if std::mem::take(&mut first) {
-                idle_timeouts.first.observe(now - heard);
+                idle_timeouts.first.observe(now - last_chunk_at);
             } else {
-                idle_timeouts.next.observe(now - heard);
+                idle_timeouts.next.observe(now - last_chunk_at);
             }
-            heard = now;
+            last_chunk_at = now;
             stream.set_idle(idle_timeouts.next.bound());
             if self.open.is_withdrawn() {
-                return Ok(Ended::Cut);
+                return Ok(AttemptEnd::KeyWithdrawn);
             }
             let Some(chunk) = chunk else {
-                self.stitch.terminate(attempt);
-                return if self.stitch.is_whole() {
-                    Ok(Ended::Whole)
+                self.assembler.terminate(attempt);
+                return if self.assembler.is_whole() {
+                    Ok(AttemptEnd::Complete)
                 } else {
                     Err(CallError::Truncated)
                 };
             };
-            if let Some(ended) = self.pass(attempt, chunk)? {
+            if let Some(ended) = self.forward(attempt, chunk)? {
                 return Ok(ended);
             }
         }
     }
 
-    /// Passes a chunk on to the caller.
-    fn pass(&mut self, attempt: u32, mut chunk: Chunk) -> Result<Option<Ended>, CallError> {
+    /// Forwards a chunk to the caller, unless an earlier attempt already sent its token.
+    fn forward(&mut self, attempt: u32, mut chunk: Chunk) -> Result<Option<AttemptEnd>, CallError> {
         let Some(choice) = chunk.choices.first() else {
             return Ok(None);
         };
         let last = matches!(choice.finish_reason, Some(Finish::Length | Finish::Stop));
-        let early = choice.finish_reason.is_some() && !last;
+        let ended_early = choice.finish_reason.is_some() && !last;
         let piece = Piece {
             attempt,
             index: choice.index,
             last,
             text: choice.delta.content.clone(),
         };
-        let stitched = self.stitch.push(&piece);
-        if stitched == Stitched::Gap {
-            let cause = format!("token {} is missing", self.stitch.tokens().len());
+        let outcome = self.assembler.push(&piece);
+        if outcome == Stitched::Gap {
+            let cause = format!("token {} is missing", self.assembler.tokens().len());
             return Err(CallError::Protocol { cause });
         }
-        if early {
+        if ended_early {
             return Err(CallError::Truncated);
         }
-        if stitched == Stitched::Next || last {
+        if outcome == Stitched::Next || last {
             chunk.id = self.admitted.work.id.to_string();
             if self.responder.send(&chunk).is_err() {
-                return Ok(Some(Ended::Left));
+                return Ok(Some(AttemptEnd::CallerLeft));
             }
         }
         Ok(None)
     }
 
-    /// Returns the client; a request that may not run twice gets a connection of its own.
+    /// Returns the target's client. A request that must not run twice gets a client of its own,
+    /// with no pooled connections, since one of those may be dead.
     fn client(&self) -> TargetClient {
-        let address = self.admitted.on.address;
+        let address = self.admitted.assignment.address;
         if self.admitted.work.attempts.idempotent {
             self.shared.client(address)
         } else {
--- a/crates/godwitspool-entry/src/request/idempotency.rs
+++ b/crates/godwitspool-entry/src/request/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests with an idempotency key, through the key's two home hosts.
+//! Requests with an idempotency key. The two home hosts of a key keep its state.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,10 +12,9 @@
 
 use crate::process::{serving, shared::Shared};
 
-/// Longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 256;
 
-/// The idempotency keys whose home this host is.
+/// The idempotency keys whose home is this host.
 #[derive(Debug, Default)]
 pub(crate) struct IdempotencyKeys(Mutex<KeyHome>);
 
@@ -25,7 +24,8 @@
     }
 }
 
-/// A claimed key, whose request may run. Unless it is settled, its fate becomes unknown.
+/// A claimed key, whose request may run. When it is dropped without a result, the fate of the
+/// request becomes unknown.
 #[derive(Debug)]
 pub(crate) struct Claim {
     key: IdempotencyKey,
@@ -33,19 +33,24 @@
     shared: Arc<Shared>,
 }
 
-/// What a claim leads to.
+/// The result of a claim.
 #[derive(Debug)]
 pub(crate) enum Claimed {
-    /// The request was answered before; the answer's bytes.
+    /// The request was answered before, with these bytes.
     Answered(Vec<u8>),
     /// The request may run.
     New(Claim),
-    /// The request isn't run.
+    /// The request must not run.
     Refused(Reason),
 }
 
-/// Claims a key at both of its homes.
-pub(crate) fn claim(shared: &Arc<Shared>, workspace: &Workspace, key: &str, print: u64) -> Claimed {
+/// Claims a key at both of its home hosts. Unless both grant the claim, those that did release it.
+pub(crate) fn claim(
+    shared: &Arc<Shared>,
+    workspace: &Workspace,
+    key: &str,
+    fingerprint: u64,
+) -> Claimed {
     if key.len() > MAX_KEY_BYTES {
         return Claimed::Refused(Reason::RequestInvalid);
     }
@@ -55,30 +60,30 @@
     };
     let host = shared.settings.host.clone();
     let members = shared.serving.members();
-    let mut joined = ClaimAnswer::New;
-    let mut claimed = Vec::new();
+    let mut merged = ClaimAnswer::New;
+    let mut granted = Vec::new();
     for home in key.homes(&members) {
         let request = ServingRequest::Claim {
             host: host.clone(),
-            key: name(&key),
-            print,
+            key: key_to_wire(&key),
+            print: fingerprint,
         };
         let Some(ServingAnswer::Claim(reply)) = serving::call(shared, home, request) else {
-            release(shared, &key, &claimed);
+            release(shared, &key, &granted);
             return Claimed::Refused(Reason::HomeUnreachable);
         };
         if reply == ClaimReply::New {
-            claimed.push(home.clone());
+            granted.push(home.clone());
         }
-        joined = joined.join(answer_of(reply));
-        if joined != ClaimAnswer::New {
+        merged = merged.join(answer_from_wire(reply));
+        if merged != ClaimAnswer::New {
             break;
         }
     }
-    if joined != ClaimAnswer::New {
-        release(shared, &key, &claimed);
+    if merged != ClaimAnswer::New {
+        release(shared, &key, &granted);
     }
-    match joined {
+    match merged {
         ClaimAnswer::Done(bytes) => Claimed::Answered(bytes),
         ClaimAnswer::InProgress => Claimed::Refused(Reason::KeyInProgress),
         ClaimAnswer::Mismatch => Claimed::Refused(Reason::KeyMismatch),
@@ -92,13 +97,13 @@
 }
 
 impl Claim {
-    /// Records the answer, before the caller gets it.
+    /// Records the answer at the home hosts. This is done before the caller gets it.
     pub(crate) fn answer(mut self, bytes: Vec<u8>) {
         self.settled = true;
         self.settle(&KeyFate::Done(bytes));
     }
 
-    /// Releases the key, since its request is known not to have run.
+    /// Releases the key of a request that is known not to have run.
     pub(crate) fn release(mut self) {
         self.settled = true;
         let members = self.shared.serving.members();
@@ -111,10 +116,10 @@
         for home in self.key.homes(&members) {
             let request = ServingRequest::Settle {
                 fate: fate.clone(),
-                key: name(&self.key),
+                key: key_to_wire(&self.key),
             };
             if serving::call(&self.shared, home, request).is_none() {
-                log::warn!(home:%; "fate of an idempotency key is not told");
+                log::warn!(home:%; "cannot record the fate of an idempotency key");
             }
         }
     }
@@ -132,28 +137,26 @@
     for home in homes {
         let request = ServingRequest::Release {
             host: shared.settings.host.clone(),
-            key: name(key),
+            key: key_to_wire(key),
         };
         serving::call(shared, home, request);
     }
 }
 
-// ---------------------------------------------------------------------------
-// As a home
-
-/// Answers a claim.
+/// Answers a claim of a key whose home is this host.
 pub(crate) fn answer_claim(
     shared: &Arc<Shared>,
     key: KeyName,
-    print: u64,
+    fingerprint: u64,
     host: &HostName,
 ) -> ClaimReply {
     let now = shared.serving.now();
-    let answer = shared
-        .serving
-        .idempotency
-        .lock()
-        .claim(&key_of(key), print, host, now);
+    let answer =
+        shared
+            .serving
+            .idempotency
+            .lock()
+            .claim(&key_from_wire(key), fingerprint, host, now);
     match answer {
         ClaimAnswer::Done(bytes) => ClaimReply::Done(bytes),
         ClaimAnswer::InProgress => ClaimReply::InProgress,
@@ -163,82 +166,80 @@
     }
 }
 
-/// Releases a claim.
-pub(crate) fn take_release(shared: &Arc<Shared>, key: KeyName, host: &HostName) {
+/// Releases the claim of a host.
+pub(crate) fn release_claim(shared: &Arc<Shared>, key: KeyName, host: &HostName) {
     shared
         .serving
         .idempotency
         .lock()
-        .release(&key_of(key), host);
+        .release(&key_from_wire(key), host);
 }
 
-/// Records what became of a request.
-pub(crate) fn take_fate(shared: &Arc<Shared>, key: KeyName, fate: KeyFate) {
+/// Records the fate of a request.
+pub(crate) fn record_fate(shared: &Arc<Shared>, key: KeyName, fate: KeyFate) {
     shared
         .serving
         .idempotency
         .lock()
-        .settle(&key_of(key), fate_of(fate));
+        .settle(&key_from_wire(key), fate_from_wire(fate));
 }
 
-/// Takes what another home hands over.
-pub(crate) fn take_items(shared: &Arc<Shared>, items: Vec<KeyItem>) {
+/// Takes over items from another home host.
+pub(crate) fn accept_items(shared: &Arc<Shared>, items: Vec<KeyItem>) {
     let now = shared.serving.now();
     let mut home = shared.serving.idempotency.lock();
     for item in items {
-        home.accept(handed_of(item), now);
+        home.accept(item_from_wire(item), now);
     }
 }
 
-/// Takes the members of a new view and hands over what moves to other homes.
+/// Takes over the members of a new view, and hands over the keys whose home has moved.
 pub(crate) fn update_members(shared: &Arc<Shared>, members: Vec<HostName>, lost: &[HostName]) {
     let now = shared.serving.now();
     let own = &shared.settings.host;
-    let handed = shared
+    let handovers = shared
         .serving
         .idempotency
         .lock()
         .set_members(own, members, lost, now);
-    send(shared, handed);
+    send_items(shared, handovers);
 }
 
-/// Hands over everything, before this host leaves.
+/// Hands over all keys before this host leaves.
 pub(crate) fn hand_over(shared: &Arc<Shared>) {
     let now = shared.serving.now();
-    let handed = shared
+    let handovers = shared
         .serving
         .idempotency
         .lock()
         .hand_over(&shared.settings.host, now);
-    send(shared, handed);
+    send_items(shared, handovers);
 }
 
-fn send(shared: &Arc<Shared>, handed: Vec<(HostName, Handed)>) {
-    for (home, item) in handed {
-        let request = ServingRequest::HandOver(vec![item_of(item)]);
+fn send_items(shared: &Arc<Shared>, handovers: Vec<(HostName, Handed)>) {
+    for (home, item) in handovers {
+        let request = ServingRequest::HandOver(vec![item_to_wire(item)]);
         if serving::call(shared, &home, request).is_none() {
-            log::warn!(home:%; "record of an idempotency key is not handed over");
+            log::warn!(home:%; "cannot hand over the record of an idempotency key");
         }
     }
 }
 
-// ---------------------------------------------------------------------------
-
-fn name(key: &IdempotencyKey) -> KeyName {
+fn key_to_wire(key: &IdempotencyKey) -> KeyName {
     KeyName {
         key: key.key.clone(),
         workspace: key.workspace.clone(),
     }
 }
 
-fn key_of(name: KeyName) -> IdempotencyKey {
+fn key_from_wire(name: KeyName) -> IdempotencyKey {
     IdempotencyKey {
         key: name.key,
         workspace: name.workspace,
     }
 }
 
-fn answer_of(reply: ClaimReply) -> ClaimAnswer {
+fn answer_from_wire(reply: ClaimReply) -> ClaimAnswer {
     match reply {
         ClaimReply::Done(bytes) => ClaimAnswer::Done(bytes),
         ClaimReply::InProgress => ClaimAnswer::InProgress,
@@ -248,7 +249,7 @@
     }
 }
 
-fn fate_of(fate: KeyFate) -> Fate {
+fn fate_from_wire(fate: KeyFate) -> Fate {
     match fate {
         KeyFate::Done(bytes) => Fate::Done(bytes),
         KeyFate::Running(host) => Fate::Running(host),
@@ -256,7 +257,7 @@
     }
 }
 
-fn handed_of(item: KeyItem) -> Handed {
+fn item_from_wire(item: KeyItem) -> Handed {
     match item {
         KeyItem::Loss {
             before,
@@ -271,18 +272,18 @@
             fate,
             key,
             left_ms,
-            print,
+            print: fingerprint,
         } => Handed::Record(KeyRecord {
-            fate: fate_of(fate),
-            key: key_of(key),
+            fate: fate_from_wire(fate),
+            key: key_from_wire(key),
             left: Millis(left_ms),
-            print,
+            print: fingerprint,
         }),
     }
 }
 
-fn item_of(handed: Handed) -> KeyItem {
-    match handed {
+fn item_to_wire(handover: Handed) -> KeyItem {
+    match handover {
         Handed::Loss(loss) => KeyItem::Loss {
             before: loss.before,
             gone: loss.gone.into_iter().collect(),
@@ -294,7 +295,7 @@
                 Fate::Running(host) => KeyFate::Running(host),
                 Fate::Unknown => KeyFate::Unknown,
             },
-            key: name(&record.key),
+            key: key_to_wire(&record.key),
             left_ms: record.left.0,
             print: record.print,
         },
--- a/crates/godwitspool-entry/src/request/journal.rs
+++ b/crates/godwitspool-entry/src/request/journal.rs
@@ -1,4 +1,4 @@
-//! What was decided on the last requests, for operators.
+//! Bounded journal of the decisions on recent requests, for the `explain` page.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -8,28 +8,27 @@
 use godwitspool_types::{Millis, RequestId, TargetName};
 use serde::Serialize;
 
-/// Requests that are remembered.
 const MAX_REQUESTS: usize = 20_000;
-/// Steps that are remembered of a request.
-const MAX_STEPS: usize = 64;
+/// Later steps of a request are dropped.
+const MAX_STEPS_PER_REQUEST: usize = 64;
 
 /// One decision on a request.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "step")]
 pub(crate) enum Step {
-    /// The caller was found.
+    /// The caller's key was accepted.
     Caller { service: String, workspace: String },
-    /// The request waited in the queue and was let through.
+    /// The request was admitted after a wait in the queue.
     Admitted { waited_ms: u64 },
-    /// The request was handed to a target.
+    /// The request was sent to a target.
     Sent { attempt: u32, target: TargetName },
     /// An attempt failed.
     Failed { cause: String, reason: String },
-    /// The answer was whole.
+    /// The answer was complete.
     Whole { tokens: u32 },
     /// The request was refused, or its answer ended early.
     Refused { ran: &'static str, reason: String },
-    /// The request is suspected of a crash and on trial.
+    /// The request is suspected of crashing targets, and this attempt is its trial.
     Trial,
 }
 
@@ -40,26 +39,26 @@
     step: Step,
 }
 
-/// A bounded journal by request.
+/// Steps of recent requests.
 #[derive(Debug, Default)]
-pub(crate) struct Journal(Mutex<Held>);
+pub(crate) struct Journal(Mutex<Entries>);
 
 #[derive(Debug, Default)]
-struct Held {
+struct Entries {
     order: VecDeque<RequestId>,
     steps: HashMap<RequestId, Vec<Line>>,
 }
 
 impl Journal {
-    /// Adds a step; the oldest request is forgotten when there are too many.
-    pub(crate) fn add(&self, id: RequestId, step: Step, now: Millis) {
-        let mut held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let Held { order, steps } = &mut *held;
+    /// Appends a step. When there are too many requests, the oldest one is evicted.
+    pub(crate) fn append(&self, id: RequestId, step: Step, now: Millis) {
+        let mut entries = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let Entries { order, steps } = &mut *entries;
         let lines = steps.entry(id).or_insert_with(|| {
             order.push_back(id);
             Vec::new()
         });
-        if lines.len() < MAX_STEPS {
+        if lines.len() < MAX_STEPS_PER_REQUEST {
             lines.push(Line { at_ms: now.0, step });
         }
         if order.len() > MAX_REQUESTS
@@ -69,10 +68,10 @@
         }
     }
 
-    /// Returns what was decided on a request.
+    /// Returns the steps of a request, or `None` for an unknown or evicted one.
     pub(crate) fn explain(&self, id: RequestId) -> Option<serde_json::Value> {
-        let held = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let lines = held.steps.get(&id)?;
+        let entries = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let lines = entries.steps.get(&id)?;
         Some(serde_json::json!({ "request": id, "steps": lines }))
     }
 }
--- a/crates/godwitspool-entry/src/request/mod.rs
+++ b/crates/godwitspool-entry/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one request.
+//! State with the lifetime of one request.
 
 pub(crate) mod admitted;
 pub(crate) mod authorize;
--- a/crates/godwitspool-entry/src/request/peers.rs
+++ b/crates/godwitspool-entry/src/request/peers.rs
@@ -1,4 +1,4 @@
-//! What other entries ask on the interactive path.
+//! Messages of other entries about callers' requests.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
     request::{idempotency, quota, suspicion},
 };
 
-/// Answers another entry, or this one where it is itself the home.
+/// Answers a message of another entry, or of this one if it is itself the home host.
 pub(crate) fn answer(shared: &Arc<Shared>, message: ServingRequest) -> ServingAnswer {
     match message {
         ServingRequest::AskTrial { host, known } => {
@@ -29,33 +29,33 @@
             ServingAnswer::Grant(quota::answer(shared, &workspace, &host, want))
         }
         ServingRequest::Probe => ServingAnswer::Here,
-        told => {
-            take(shared, told);
+        notice => {
+            handle_notification(shared, notice);
             ServingAnswer::Done
         }
     }
 }
 
-/// Takes what needs no answer.
-fn take(shared: &Arc<Shared>, told: ServingRequest) {
-    match told {
-        ServingRequest::Announce(_) | ServingRequest::Clear(_) => suspicion::hear(shared, &told),
+/// Handles a message that needs no answer.
+fn handle_notification(shared: &Arc<Shared>, notice: ServingRequest) {
+    match notice {
+        ServingRequest::Announce(_) | ServingRequest::Clear(_) => suspicion::apply(shared, &notice),
         ServingRequest::Blame {
             part,
             print,
             target,
-        } => suspicion::settle(shared, suspicion::blame(part, print, target)),
+        } => suspicion::handle_event(shared, suspicion::blamed(part, print, target)),
         ServingRequest::EndTrial { answered, print } => {
-            suspicion::settle(shared, SuspectEvent::Over { answered, print });
+            suspicion::handle_event(shared, SuspectEvent::Over { answered, print });
         }
-        ServingRequest::HandOver(items) => idempotency::take_items(shared, items),
-        ServingRequest::Lift(print) => suspicion::settle(shared, SuspectEvent::Lift(print)),
+        ServingRequest::HandOver(items) => idempotency::accept_items(shared, items),
+        ServingRequest::Lift(print) => suspicion::handle_event(shared, SuspectEvent::Lift(print)),
         ServingRequest::Loads(loads) => {
             shared.serving.dispatch.report(&loads);
             shared.rollouts.report(&loads);
         }
-        ServingRequest::Release { host, key } => idempotency::take_release(shared, key, &host),
-        ServingRequest::Settle { fate, key } => idempotency::take_fate(shared, key, fate),
+        ServingRequest::Release { host, key } => idempotency::release_claim(shared, key, &host),
+        ServingRequest::Settle { fate, key } => idempotency::record_fate(shared, key, fate),
         ServingRequest::AskTrial { .. }
         | ServingRequest::Claim { .. }
         | ServingRequest::Limits { .. }
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -1,4 +1,4 @@
-//! Requests that pass through to plain services.
+//! Requests to plain services: HTTP services that aren't engines.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -12,7 +12,7 @@
     connection::answer,
     process::{billing::AnswerUsage, shared::Shared},
     request::{
-        admitted::{AdmittedRequest, Failed},
+        admitted::{AdmittedRequest, FailedAttempt},
         authorize::{self, OpenGuard},
         generation::read_body,
         idempotency::{self, Claim, Claimed},
@@ -24,7 +24,7 @@
 
 const KEY_HEADER: &str = "Idempotency-Key";
 
-/// Passes a request through. `rest` is the service's alias, then the path and query.
+/// Serves a request to a plain service. `rest` is the service's alias, then the path and query.
 pub(crate) fn handle(mut request: Request, rest: &str, shared: &Arc<Shared>) {
     let id = RequestId::random();
     match run(&mut request, rest, shared, id) {
@@ -45,7 +45,7 @@
     let key = authorize::header_of(request, KEY_HEADER);
     let has_key = key.is_some();
     let prepared = prepare(request, rest, shared, id);
-    // Before the homes have spoken, an earlier request with the key may have run.
+    // Until the home hosts are asked, it is unknown whether an earlier request with the key ran.
     let prepared = prepared.map_err(|refusal| {
         if has_key {
             refusal.for_keyed()
@@ -57,15 +57,15 @@
         return call(&prepared, shared);
     };
     let workspace = &prepared.work.caller.workspace;
-    let print = prepared.work.need.fingerprint;
-    match idempotency::claim(shared, workspace, &key, print) {
+    let request_fingerprint = prepared.work.need.fingerprint;
+    match idempotency::claim(shared, workspace, &key, request_fingerprint) {
         Claimed::Answered(bytes) => decode(&bytes).ok_or_else(|| Reason::FateUnknown.into()),
         Claimed::Refused(reason) => Err(reason.into()),
         Claimed::New(claim) => call_claimed(&prepared, shared, claim),
     }
 }
 
-/// A request whose caller is known.
+/// A request that is authorized and read.
 struct Prepared {
     call: PlainCall,
     open: OpenGuard,
@@ -102,8 +102,9 @@
     );
     let body = read_body(request, shared)?;
     let method = request.method().to_string();
-    let print = work::fingerprint(&caller.service, &format!("{method} {path}"), &body);
-    let work = Work::new(id, caller, print, &view.configuration, now);
+    let request_fingerprint =
+        work::fingerprint(&caller.service, &format!("{method} {path}"), &body);
+    let work = Work::new(id, caller, request_fingerprint, &view.configuration, now);
     let call = PlainCall {
         body,
         headers: headers(request, id),
@@ -114,7 +115,7 @@
     Ok(Prepared { call, open, work })
 }
 
-/// Parts the service's name from the path behind it.
+/// Splits the service's name from the path behind it.
 ///
 /// A workspace's own names have no slash. An open route has no workspace, so it goes by its
 /// qualified name, which has one.
@@ -126,6 +127,7 @@
     rest.split_at(split.unwrap_or_else(|| rest.find(['/', '?']).unwrap_or(rest.len())))
 }
 
+/// Calls the service under a claimed idempotency key, and records the answer under the key.
 fn call_claimed(
     prepared: &Prepared,
     shared: &Arc<Shared>,
@@ -168,7 +170,7 @@
             }
             Err(error) => {
                 let caller = prepared.work.need.caller;
-                admitted.fail(Failed::new(&error, false, caller))?;
+                admitted.fail(FailedAttempt::new(&error, false, caller))?;
             }
         }
     }
@@ -181,16 +183,19 @@
 ) -> Result<PlainAnswer, CallError> {
     let serving = &shared.serving;
     let sent = serving.now();
-    let mut idle_timeouts = serving.dispatch.idle_timeouts(&admitted.on.target);
-    let patience = admitted.work.first_byte_timeout(sent);
-    let client = shared.client(admitted.on.address);
-    let outcome = client.call(&prepared.call, idle_timeouts.first.bound().min(patience));
+    let mut idle_timeouts = serving.dispatch.idle_timeouts(&admitted.assignment.target);
+    let first_timeout = admitted.work.first_byte_timeout(sent);
+    let client = shared.client(admitted.assignment.address);
+    let outcome = client.call(
+        &prepared.call,
+        idle_timeouts.first.bound().min(first_timeout),
+    );
     match &outcome {
         Ok(_) => {
             idle_timeouts.first.observe(serving.now() - sent);
             serving
                 .dispatch
-                .set_idle_timeouts(&admitted.on.target, idle_timeouts);
+                .set_idle_timeouts(&admitted.assignment.target, idle_timeouts);
         }
         Err(CallError::Silent { .. }) => client.condemn_pooled(),
         Err(_) => {}
@@ -227,44 +232,43 @@
     }
 }
 
-// ---------------------------------------------------------------------------
-// An answer as the homes of its key keep it
-
+/// An answer as the home hosts of its idempotency key store it. The encoding reads fields by
+/// position.
 #[derive(Deserialize, Serialize)]
-struct KeptAnswer {
+struct StoredAnswer {
     body: Vec<u8>,
-    headers: Vec<KeptHeader>,
+    headers: Vec<StoredHeader>,
     status: u16,
 }
 
 #[derive(Deserialize, Serialize)]
-struct KeptHeader {
+struct StoredHeader {
     name: String,
     value: String,
 }
 
 fn encode(answer: &PlainAnswer) -> Vec<u8> {
-    let headers = answer.headers.iter().map(|header| KeptHeader {
+    let headers = answer.headers.iter().map(|header| StoredHeader {
         name: header.name.clone(),
         value: header.value.clone(),
     });
-    let kept = KeptAnswer {
+    let stored = StoredAnswer {
         body: answer.body.clone(),
         headers: headers.collect(),
         status: answer.status,
     };
-    postcard::to_stdvec(&kept).unwrap_or_default()
+    postcard::to_stdvec(&stored).unwrap_or_default()
 }
 
 fn decode(bytes: &[u8]) -> Option<PlainAnswer> {
-    let kept: KeptAnswer = postcard::from_bytes(bytes).ok()?;
-    let headers = kept.headers.into_iter().map(|header| Header {
+    let stored: StoredAnswer = postcard::from_bytes(bytes).ok()?;
+    let headers = stored.headers.into_iter().map(|header| Header {
         name: header.name,
         value: header.value,
     });
     Some(PlainAnswer {
-        body: kept.body,
+        body: stored.body,
         headers: headers.collect(),
-        status: kept.status,
+        status: stored.status,
     })
 }
--- a/crates/godwitspool-entry/src/request/quota.rs
+++ b/crates/godwitspool-entry/src/request/quota.rs
@@ -1,4 +1,4 @@
-//! Workspaces' rate and concurrency limits over all hosts.
+//! Rate and concurrency limits of workspaces, shared by all hosts.
 
 use std::{
     collections::HashMap,
@@ -11,28 +11,28 @@
 
 use crate::process::{serving, shared::Shared};
 
-/// Shortest time between two askings for one workspace.
-const ASK_PAUSE: Millis = Millis(200);
+/// Least time between two requests to the home host of one workspace's limits.
+const MIN_ASK_INTERVAL: Millis = Millis(200);
 
 #[derive(Debug, Default)]
 struct State {
-    asked: HashMap<Workspace, Millis>,
+    asked_at: HashMap<Workspace, Millis>,
     homes: HashMap<Workspace, LimitHome>,
     usages: HashMap<Workspace, Usage>,
 }
 
-/// Use of the workspaces' limits on this host, and the limits whose home it is.
+/// Usage of the limits on this host, and the limits whose home is this host.
 #[derive(Debug, Default)]
 pub(crate) struct Quota(Mutex<State>);
 
-/// Counts a request of a workspace while it lives.
+/// Counts a request against the limits of its workspace while the guard lives.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct QuotaGuard {
     shared: Arc<Shared>,
     workspace: Workspace,
 }
 
-impl Drop for Counted {
+impl Drop for QuotaGuard {
     fn drop(&mut self) {
         let mut state = self.shared.serving.quota.lock();
         if let Some(usage) = state.usages.get_mut(&self.workspace) {
@@ -41,17 +41,18 @@
     }
 }
 
-/// Counts a request in, asking the home for a part of the limits when this host's is used up.
-pub(crate) fn begin(shared: &Arc<Shared>, workspace: &Workspace) -> Result<Counted, Refusal> {
+/// Counts a request against the limits of its workspace. When this host's part of them is used up,
+/// it asks the home host for more.
+pub(crate) fn begin(shared: &Arc<Shared>, workspace: &Workspace) -> Result<QuotaGuard, Refusal> {
     let limits = limits(shared, workspace);
     let now = shared.serving.now();
-    let counted = || Counted {
+    let guard = || QuotaGuard {
         shared: Arc::clone(shared),
         workspace: workspace.clone(),
     };
     let quota = &shared.serving.quota;
     let Err(refusal) = quota.try_begin(workspace, limits, now) else {
-        return Ok(counted());
+        return Ok(guard());
     };
     if limits.hosts < 2 || !quota.may_ask(workspace, now) {
         return Err(refusal);
@@ -59,10 +60,10 @@
     ask(shared, workspace);
     quota
         .try_begin(workspace, limits, shared.serving.now())
-        .map(|()| counted())
+        .map(|()| guard())
 }
 
-/// Asks the homes for parts of the limits that this host's requests need.
+/// Renews this host's parts of the limits of all workspaces that it has served.
 pub(crate) fn renew(shared: &Arc<Shared>) {
     let workspaces: Vec<Workspace> = {
         let state = shared.serving.quota.lock();
@@ -76,12 +77,12 @@
     }
 }
 
-/// Answers for a workspace whose home this host is.
+/// Grants a host its part of the limits of a workspace whose home is this host.
 pub(crate) fn answer(
     shared: &Arc<Shared>,
     workspace: &Workspace,
     host: &HostName,
-    want: Want,
+    demand: Want,
 ) -> Option<LimitPart> {
     let limits = limits(shared, workspace);
     let now = shared.serving.now();
@@ -90,21 +91,22 @@
         .homes
         .entry(workspace.clone())
         .or_insert_with(|| LimitHome::new(now));
-    home.ask(host, want, limits, now).map(|grant| LimitPart {
+    home.ask(host, demand, limits, now).map(|grant| LimitPart {
         concurrency: grant.concurrency,
         rate: grant.rate,
     })
 }
 
+/// Asks the home host of a workspace's limits for a part of them.
 fn ask(shared: &Arc<Shared>, workspace: &Workspace) {
-    let asked = shared.serving.now();
-    let Some(want) = shared.serving.quota.want(workspace, asked) else {
+    let asked_at = shared.serving.now();
+    let Some(demand) = shared.serving.quota.demand(workspace, asked_at) else {
         return;
     };
     let request = ServingRequest::Limits {
-        arrived: want.arrived,
+        arrived: demand.arrived,
         host: shared.settings.host.clone(),
-        running: want.running,
+        running: demand.running,
         workspace: workspace.clone(),
     };
     let key = stable_hash(workspace.as_str().as_bytes());
@@ -116,11 +118,12 @@
         };
         let mut state = shared.serving.quota.lock();
         if let Some(usage) = state.usages.get_mut(workspace) {
-            usage.grant(grant, asked);
+            usage.grant(grant, asked_at);
         }
     }
 }
 
+/// Returns the limits of a workspace. One without rules is practically unlimited.
 fn limits(shared: &Arc<Shared>, workspace: &Workspace) -> Limits {
     let view = shared.view();
     let hosts = shared.serving.members().len() as u32;
@@ -144,14 +147,14 @@
     }
 
     fn may_ask(&self, workspace: &Workspace, now: Millis) -> bool {
-        let asked = self.lock().asked.get(workspace).copied();
-        asked.is_none_or(|asked| now - asked >= ASK_PAUSE)
+        let asked_at = self.lock().asked_at.get(workspace).copied();
+        asked_at.is_none_or(|asked_at| now - asked_at >= MIN_ASK_INTERVAL)
     }
 
-    /// Returns the demand, and notes that it was asked for now.
-    fn want(&self, workspace: &Workspace, now: Millis) -> Option<Want> {
+    /// Returns this host's demand, and records that the home host is asked now.
+    fn demand(&self, workspace: &Workspace, now: Millis) -> Option<Want> {
         let mut state = self.lock();
-        state.asked.insert(workspace.clone(), now);
+        state.asked_at.insert(workspace.clone(), now);
         state.usages.get_mut(workspace).map(Usage::report)
     }
 }
--- a/crates/godwitspool-entry/src/request/refusal.rs
+++ b/crates/godwitspool-entry/src/request/refusal.rs
@@ -1,17 +1,17 @@
-//! Why a request is refused.
+//! Refusals as callers see them.
 
-use godwitspool_request as decided;
+use godwitspool_request as policy;
 use godwitspool_request::Reason;
 use godwitspool_types::Ran;
 use snafu::Snafu;
 
-/// Why a request is refused.
+/// Why a request is refused. The text goes into the body of the answer.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub(crate) enum Refusal {
     #[snafu(display("request body: {message}"))]
     BadBody { message: String },
     #[snafu(display("{refusal}"))]
-    Decided { refusal: decided::Refusal },
+    Policy { refusal: policy::Refusal },
     #[snafu(display("no key, or not one that is in force"))]
     KeyUnknown,
     #[snafu(display("entry has not yet found the configuration"))]
@@ -22,25 +22,25 @@
 
 impl Refusal {
     pub(crate) fn code(&self) -> &'static str {
-        self.decided().reason.code()
+        self.policy_refusal().reason.code()
     }
 
     pub(crate) fn ran(&self) -> Ran {
-        self.decided().ran
+        self.policy_refusal().ran
     }
 
     pub(crate) fn retry_after_s(&self) -> Option<u64> {
-        self.decided().retry_seconds()
+        self.policy_refusal().retry_seconds()
     }
 
     pub(crate) fn status(&self) -> u16 {
-        self.decided().reason.status()
+        self.policy_refusal().reason.status()
     }
 
-    /// Returns the refusal as decided, without its text.
-    pub(crate) fn decided(&self) -> decided::Refusal {
+    /// Returns the reason of the refusal and whether the request ran, without the text.
+    pub(crate) fn policy_refusal(&self) -> policy::Refusal {
         match self {
-            Self::Decided { refusal } => *refusal,
+            Self::Policy { refusal } => *refusal,
             Self::BadBody { .. } => Reason::RequestInvalid.into(),
             Self::KeyUnknown => Reason::KeyUnknown.into(),
             Self::NotReady => Reason::NotReady.into(),
@@ -48,20 +48,21 @@
         }
     }
 
-    /// Answers for every request with the same idempotency key.
+    /// Returns the refusal for a request with an idempotency key, which an earlier request may have
+    /// used and run.
     pub(crate) fn for_keyed(&self) -> Self {
-        self.decided().for_keyed().into()
+        self.policy_refusal().for_keyed().into()
     }
 }
 
-impl From<decided::Refusal> for Refusal {
-    fn from(refusal: decided::Refusal) -> Self {
-        Self::Decided { refusal }
+impl From<policy::Refusal> for Refusal {
+    fn from(refusal: policy::Refusal) -> Self {
+        Self::Policy { refusal }
     }
 }
 
 impl From<Reason> for Refusal {
     fn from(reason: Reason) -> Self {
-        Self::from(decided::Refusal::from(reason))
+        Self::from(policy::Refusal::from(reason))
     }
 }
--- a/crates/godwitspool-entry/src/request/suspicion.rs
+++ b/crates/godwitspool-entry/src/request/suspicion.rs
@@ -1,4 +1,5 @@
-//! Requests suspected of crashing targets: trials by their home host, news to all hosts.
+//! Requests suspected of crashing targets. The home host of a fingerprint collects blame, grants
+//! trials and announces the result to all hosts.
 
 use std::{
     collections::BTreeSet,
@@ -15,30 +16,30 @@
 
 use crate::process::{serving, shared::Shared};
 
-/// Span within which the failures of several requests on a target are one crash.
-const ONE_CRASH: Millis = Millis(500);
+/// Failures of several requests on one target within this time count as one crash.
+const CRASH_WINDOW: Millis = Millis(500);
 
 #[derive(Debug, Default)]
 struct State {
     list: SuspectList,
     suspects: Suspects,
-    /// Crashes that this host told of lately.
-    told: Vec<(TargetId, Millis)>,
-    /// Targets on which a suspect of this host is on trial.
+    /// Crashes that requests of this host noticed within the last [`CRASH_WINDOW`].
+    recent_crashes: Vec<(TargetId, Millis)>,
+    /// Targets on which a suspect runs on trial from this host, with its fingerprint.
     trials: Vec<(TargetId, u64)>,
 }
 
-/// How a crash is noticed.
-enum Noticed {
-    /// Another request has told of it.
-    Again,
-    /// This suspect was on trial.
+/// What is known of a crash when a request notices it.
+enum CrashReport {
+    /// Another request has reported the crash before.
+    Duplicate,
+    /// The suspect with this fingerprint was on trial on the target.
     InTrial(u64),
-    /// No suspect was on trial.
+    /// No suspect was on trial on the target.
     New,
 }
 
-/// What this host knows of suspects, and those of which it is the home.
+/// Suspects announced to this host, and the suspects whose home is this host.
 #[derive(Debug, Default)]
 pub(crate) struct Suspicion(Mutex<State>);
 
@@ -47,29 +48,31 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the targets that a further suspect keeps off.
+    /// Returns the targets with a trial, which a trial of another suspect must avoid.
     pub(crate) fn trial_targets(&self) -> Vec<TargetId> {
         self.lock().trials.iter().map(|(id, _)| *id).collect()
     }
 
-    /// Notes on which target a suspect is on trial.
-    pub(crate) fn record_trial(&self, id: TargetId, print: u64) {
-        self.lock().trials.push((id, print));
+    /// Records on which target a suspect runs on trial.
+    pub(crate) fn record_trial(&self, id: TargetId, fingerprint: u64) {
+        self.lock().trials.push((id, fingerprint));
     }
 
-    /// Notices a crash and returns the suspect that was on trial.
-    fn notice(&self, id: TargetId, now: Millis) -> Noticed {
+    /// Records a crash and ends the trials on the target.
+    fn record_crash(&self, id: TargetId, now: Millis) -> CrashReport {
         let mut state = self.lock();
         let trial = state.trials.iter().find(|(other, _)| *other == id);
-        let trial = trial.map(|(_, print)| *print);
+        let trial = trial.map(|(_, fingerprint)| *fingerprint);
         state.trials.retain(|(other, _)| *other != id);
-        state.told.retain(|(_, when)| now < *when + ONE_CRASH);
-        let told = state.told.iter().any(|(other, _)| *other == id);
-        state.told.push((id, now));
+        state
+            .recent_crashes
+            .retain(|(_, when)| now < *when + CRASH_WINDOW);
+        let reported = state.recent_crashes.iter().any(|(other, _)| *other == id);
+        state.recent_crashes.push((id, now));
         match trial {
-            Some(print) => Noticed::InTrial(print),
-            None if told => Noticed::Again,
-            None => Noticed::New,
+            Some(fingerprint) => CrashReport::InTrial(fingerprint),
+            None if reported => CrashReport::Duplicate,
+            None => CrashReport::New,
         }
     }
 
@@ -81,13 +84,19 @@
     }
 }
 
-/// Tells whether a request runs freely or on trial.
+/// Checks whether a request may run, and returns whether it is on trial.
 ///
-/// A suspect runs only when its home host says so; when the home can't be asked it isn't run.
-pub(crate) fn enter(shared: &Arc<Shared>, print: u64) -> Result<bool, Refusal> {
+/// A suspect runs only as a trial that its home host grants. It doesn't run while the home host is
+/// unreachable.
+pub(crate) fn request_trial(shared: &Arc<Shared>, fingerprint: u64) -> Result<bool, Refusal> {
     let now = shared.serving.now();
-    let standing = shared.serving.suspicion.lock().list.standing(print, now);
-    let standing = if shared.view().quarantined.contains(&print) {
+    let standing = shared
+        .serving
+        .suspicion
+        .lock()
+        .list
+        .standing(fingerprint, now);
+    let standing = if shared.view().quarantined.contains(&fingerprint) {
         Standing::Quarantined
     } else {
         standing
@@ -97,12 +106,12 @@
         Standing::Quarantined => return Err(Reason::Quarantined.into()),
         Standing::Suspect => {}
     }
-    let record = shared.serving.suspicion.lock().list.record(print);
+    let record = shared.serving.suspicion.lock().list.record(fingerprint);
     let request = ServingRequest::AskTrial {
         host: shared.settings.host.clone(),
-        known: to_wire(print, &record, now),
+        known: to_wire(fingerprint, &record, now),
     };
-    let home = shared.serving.home(shared, print);
+    let home = shared.serving.home(shared, fingerprint);
     match serving::call(shared, &home, request) {
         Some(ServingAnswer::Trial(TrialReply::Try)) => Ok(true),
         Some(ServingAnswer::Trial(TrialReply::Refuse(left_ms))) => {
@@ -112,12 +121,21 @@
     }
 }
 
-/// Tells the homes of the requests in flight that their target crashed.
-pub(crate) fn crashed(shared: &Arc<Shared>, id: TargetId, target: &TargetName, in_flight: &[u64]) {
-    let trial = match shared.serving.suspicion.notice(id, shared.serving.now()) {
-        Noticed::Again => return,
-        Noticed::InTrial(print) => Some(print),
-        Noticed::New => None,
+/// Reports the crash of a target to the home hosts of the requests in flight on it.
+pub(crate) fn report_crash(
+    shared: &Arc<Shared>,
+    id: TargetId,
+    target: &TargetName,
+    in_flight: &[u64],
+) {
+    let trial = match shared
+        .serving
+        .suspicion
+        .record_crash(id, shared.serving.now())
+    {
+        CrashReport::Duplicate => return,
+        CrashReport::InTrial(fingerprint) => Some(fingerprint),
+        CrashReport::New => None,
     };
     for blame in share_blame(target, in_flight, trial) {
         let request = ServingRequest::Blame {
@@ -127,9 +145,9 @@
         };
         let home = shared.serving.home(shared, blame.print);
         if serving::call(shared, &home, request).is_none() {
-            log::warn!(home:%; "home of a suspect is not reached");
+            log::warn!(home:%; "cannot report a crash to the home host of a suspect");
         }
-        // The next attempt of this host has to know, also when the news is late.
+        // The next attempt on this host must find the suspicion before the announcement arrives.
         let now = shared.serving.now();
         let mut state = shared.serving.suspicion.lock();
         if state.list.standing(blame.print, now) == Standing::Clear {
@@ -138,42 +156,46 @@
     }
 }
 
-/// Ends a trial with no crash.
-pub(crate) fn leave(shared: &Arc<Shared>, print: u64, answered: bool) {
+/// Ends a trial without a crash.
+pub(crate) fn end_trial(shared: &Arc<Shared>, fingerprint: u64, answered: bool) {
     shared
         .serving
         .suspicion
         .lock()
         .trials
-        .retain(|(_, other)| *other != print);
-    let home = shared.serving.home(shared, print);
-    let request = ServingRequest::EndTrial { answered, print };
+        .retain(|(_, other)| *other != fingerprint);
+    let home = shared.serving.home(shared, fingerprint);
+    let request = ServingRequest::EndTrial {
+        answered,
+        print: fingerprint,
+    };
     if serving::call(shared, &home, request).is_none() {
-        log::warn!(home:%; "end of a trial is not told");
+        log::warn!(home:%; "cannot report the end of a trial to the home host");
     }
 }
 
 /// Lifts a quarantine on every host.
-pub(crate) fn lift(shared: &Arc<Shared>, print: u64) {
+pub(crate) fn lift(shared: &Arc<Shared>, fingerprint: u64) {
     for host in shared.serving.members().iter() {
-        serving::call(shared, host, ServingRequest::Lift(print));
+        serving::call(shared, host, ServingRequest::Lift(fingerprint));
     }
-    shared.serving.suspicion.lock().list.clear(print);
+    shared.serving.suspicion.lock().list.clear(fingerprint);
 }
 
-// ---------------------------------------------------------------------------
-// Of other hosts
-
-/// Answers the asking for a trial.
+/// Answers a request for a trial of a suspect whose home is this host.
 pub(crate) fn answer_trial(
     shared: &Arc<Shared>,
     host: HostName,
     known: SuspectRecord,
 ) -> TrialReply {
     let now = shared.serving.now();
-    let print = known.print;
+    let fingerprint = known.print;
     let known = from_wire(known, now);
-    let event = SuspectEvent::Ask { host, known, print };
+    let event = SuspectEvent::Ask {
+        host,
+        known,
+        print: fingerprint,
+    };
     let actions = shared.serving.suspicion.lock().suspects.decide(event, now);
     match actions.first() {
         Some(SuspectAction::Try) => TrialReply::Try,
@@ -182,49 +204,49 @@
     }
 }
 
-/// Takes blame, the end of a trial or the lifting of a quarantine, as the home.
-pub(crate) fn settle(shared: &Arc<Shared>, event: SuspectEvent) {
+/// Handles an event of a suspect whose home is this host, and announces the result to all hosts.
+pub(crate) fn handle_event(shared: &Arc<Shared>, event: SuspectEvent) {
     let now = shared.serving.now();
     let actions = shared.serving.suspicion.lock().suspects.decide(event, now);
     for action in actions {
-        let news = match action {
-            SuspectAction::Announce(print, record) => {
-                ServingRequest::Announce(to_wire(print, &record, now))
+        let announcement = match action {
+            SuspectAction::Announce(fingerprint, record) => {
+                ServingRequest::Announce(to_wire(fingerprint, &record, now))
             }
-            SuspectAction::Clear(print) => ServingRequest::Clear(print),
+            SuspectAction::Clear(fingerprint) => ServingRequest::Clear(fingerprint),
             _ => continue,
         };
-        hear(shared, &news);
-        spread(shared, news);
+        apply(shared, &announcement);
+        announce_to_others(shared, announcement);
     }
 }
 
-/// Takes news of a suspect.
-pub(crate) fn hear(shared: &Arc<Shared>, news: &ServingRequest) {
+/// Applies an announcement of a suspect or its clearance.
+pub(crate) fn apply(shared: &Arc<Shared>, announcement: &ServingRequest) {
     let now = shared.serving.now();
     let mut state = shared.serving.suspicion.lock();
-    match news {
+    match announcement {
         ServingRequest::Announce(record) => {
-            let print = record.print;
+            let fingerprint = record.print;
             let record = from_wire(record.clone(), now);
-            state.list.announce(print, record, now);
+            state.list.announce(fingerprint, record, now);
         }
-        ServingRequest::Clear(print) => state.list.clear(*print),
+        ServingRequest::Clear(fingerprint) => state.list.clear(*fingerprint),
         _ => {}
     }
 }
 
-/// Makes a blame of its message.
-pub(crate) fn blame(part: u32, print: u64, target: TargetName) -> SuspectEvent {
+/// Returns the event for a blame message.
+pub(crate) fn blamed(part: u32, fingerprint: u64, target: TargetName) -> SuspectEvent {
     SuspectEvent::Blamed(Blame {
         part,
-        print,
+        print: fingerprint,
         target,
     })
 }
 
-/// Tells all other hosts, without waiting for them.
-fn spread(shared: &Arc<Shared>, news: ServingRequest) {
+/// Sends an announcement to all other hosts in a thread of its own.
+fn announce_to_others(shared: &Arc<Shared>, announcement: ServingRequest) {
     let members = shared.serving.members();
     let others = members.iter().filter(|host| **host != shared.settings.host);
     let others: Vec<HostName> = others.cloned().collect();
@@ -236,21 +258,21 @@
         .name("suspect-news".to_owned())
         .spawn(move || {
             for host in others {
-                serving::call(&shared, &host, news.clone());
+                serving::call(&shared, &host, announcement.clone());
             }
         });
     if let Err(error) = spawned {
-        log::error!("no thread for news of a suspect: {error}");
+        log::error!("cannot spawn the thread that announces a suspect: {error}");
     }
 }
 
-fn to_wire(print: u64, record: &Record, now: Millis) -> SuspectRecord {
+fn to_wire(fingerprint: u64, record: &Record, now: Millis) -> SuspectRecord {
     SuspectRecord {
         blame: record.blame,
         crashed: record.crashed.iter().cloned().collect(),
         crashes: record.crashes,
         left_ms: record.until.map(|until| (until - now).0),
-        print,
+        print: fingerprint,
     }
 }
 
--- a/crates/godwitspool-entry/src/request/work.rs
+++ b/crates/godwitspool-entry/src/request/work.rs
@@ -1,13 +1,13 @@
-//! One request on its way.
+//! A caller's request with what routing, admission and retries need of it.
 
 use godwitspool_request::{Attempts, Caller, Need, stable_hash};
 use godwitspool_types::{Millis, RequestId, ServiceName};
 use godwitspool_version::{Configuration, ServiceRules};
 
-/// Attempts that the time left is parted among.
-const PATIENCE_PART: u64 = 3;
+/// An attempt that another one may follow waits at most the remaining time divided by this.
+const FIRST_BYTE_DIVISOR: u64 = 3;
 
-/// One request on its way.
+/// A caller's request with what routing, admission and retries need of it.
 #[derive(Clone, Debug)]
 pub(crate) struct Work {
     pub(crate) attempts: Attempts,
@@ -19,23 +19,23 @@
 }
 
 impl Work {
-    /// Returns how long a first byte may take: where another attempt may follow, the time left
-    /// isn't all given to one target.
+    /// Returns how long an attempt may wait for its first byte. An idempotent request gives one
+    /// target only a part of the remaining time, so that another attempt can follow.
     pub(crate) fn first_byte_timeout(&self, now: Millis) -> Millis {
-        let left = self.attempts.deadline - now;
-        let part = if self.attempts.idempotent {
-            left.0 / PATIENCE_PART
+        let remaining = self.attempts.deadline - now;
+        let timeout = if self.attempts.idempotent {
+            remaining.0 / FIRST_BYTE_DIVISOR
         } else {
-            left.0
+            remaining.0
         };
-        Millis(part.max(1))
+        Millis(timeout.max(1))
     }
 
-    /// Prepares a request of a caller. `print` is its fingerprint.
+    /// Prepares a caller's request with the rules of its service and workspace.
     pub(crate) fn new(
         id: RequestId,
         caller: Caller,
-        print: u64,
+        request_fingerprint: u64,
         configuration: &Configuration,
         now: Millis,
     ) -> Self {
@@ -49,7 +49,7 @@
             .map_or(1, |workspace| workspace.share);
         let need = Need {
             caller: stable_hash(caller.workspace.as_str().as_bytes()),
-            fingerprint: print,
+            fingerprint: request_fingerprint,
             resumable: rules.idempotent,
             service: caller.service.clone(),
             ..Need::default()
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the fingerprint of a request: the same for each copy that its caller sends.
+/// Returns the fingerprint of a request. All copies that a caller sends have the same one.
 pub(crate) fn fingerprint(service: &ServiceName, path: &str, body: &[u8]) -> u64 {
     let mut text = Vec::with_capacity(body.len() + path.len() + service.as_str().len() + 2);
     text.extend_from_slice(service.as_str().as_bytes());
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -312,7 +312,7 @@
         };
         let request = RequestId::random();
         log::info!(request:%, trainer:%, step = handed.step.0; "batch is billed");
-        shared.billing.enqueue(
+        shared.billing.queue_record(
             shared,
             &caller,
             AnswerUsage {
