--- a/crates/godwitspool-entry/src/process/operators.rs
+++ b/crates/godwitspool-entry/src/process/operators.rs
@@ -58,7 +58,7 @@
         if let Some(id) = path.strip_prefix(EXPLAIN) {
             return match id.parse::<RequestId>() {
                 Ok(id) => self.0.serving.journal.explain(id),
-                Err(_) => self.0.rollouts.explained(&id.parse().ok()?),
+                Err(_) => self.0.rollouts.sample_report(&id.parse().ok()?),
             };
         }
         if path == QUARANTINE {
--- a/crates/godwitspool-entry/src/rollout/dispatch.rs
+++ b/crates/godwitspool-entry/src/rollout/dispatch.rs
@@ -1,4 +1,4 @@
-//! Starts samples on targets, within what the interactive leaves.
+//! Starts samples on targets, within the room that callers' requests leave.
 
 use std::{
     collections::BTreeSet,
@@ -24,60 +24,62 @@
 };
 use crate::process::shared::Shared;
 
-const ROUND_PAUSE: Duration = Duration::from_millis(20);
-const TICK_MS: Millis = Millis(100);
-const REMEDY_MS: Millis = Millis(250);
-pub(super) const FIRST_PACE_MS: f64 = 20.0;
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Millis = Millis(100);
+const REMEDY_INTERVAL: Millis = Millis(250);
+/// Assumed time per token of a target that has not been measured.
+pub(super) const INITIAL_TOKEN_MS: f64 = 20.0;
 
 /// Runs the rollouts of this host until the entry stops.
 pub(crate) fn run(shared: &Arc<Shared>) {
-    let (mut ticked, mut remedied) = (Millis::ZERO, Millis::ZERO);
+    let (mut last_tick, mut last_remedy) = (Millis::ZERO, Millis::ZERO);
     while !shared.stopped() {
         let now = shared.rollouts.clock.now();
-        if now - ticked >= TICK_MS {
-            ticked = now;
+        if now - last_tick >= TICK_INTERVAL {
+            last_tick = now;
             shared.rollouts.tick(shared);
-            scores::tell(shared, ScoreEvent::Tick);
+            scores::handle_event(shared, ScoreEvent::Tick);
             shared.rollouts.send_portion(shared);
         }
         let view = shared.view();
         let streams = {
             let mut state = shared.rollouts.lock();
             state.observe(&view, now);
-            state.cut(&shared.settings.host, now);
-            state.reclaim(&shared.settings.host, &view, now);
-            if now - remedied >= REMEDY_MS {
-                remedied = now;
+            state.preempt(&shared.settings.host, now);
+            state.move_off_reclaimed(&shared.settings.host, &view, now);
+            if now - last_remedy >= REMEDY_INTERVAL {
+                last_remedy = now;
                 state.measure_paces(now);
                 state.sort_queues();
-                state.remedy(&shared.settings.host, now);
+                state.apply_remedies(&shared.settings.host, now);
             }
             state.dispatch(shared, &view, now)
         };
         for stream in streams {
-            start(shared, stream);
+            spawn_stream(shared, stream);
         }
-        shared.rollouts.wait(ROUND_PAUSE);
+        shared.rollouts.wait(DISPATCH_INTERVAL);
     }
 }
 
-fn start(shared: &Arc<Shared>, stream: Stream) {
+fn spawn_stream(shared: &Arc<Shared>, stream: Stream) {
     let shared = Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("sample".to_owned())
         .spawn(move || stream.run(&shared));
     if let Err(error) = spawned {
-        log::error!("no thread for a sample: {error}");
+        log::error!("cannot spawn a thread for a sample: {error}");
     }
 }
 
 impl State {
-    /// Tells whether a sample is still being made under a generation.
+    /// Returns whether the steps still want a sample, under this generation.
     pub(super) fn is_wanted(&self, id: &SampleId, generation: u64) -> bool {
         let trainer = self.trainers.get(&id.trainer);
         trainer.is_some_and(|trainer| trainer.steps.generation(id) == Some(generation))
     }
 
+    /// Updates each target's limit on training from its slots and its load.
     fn observe(&mut self, view: &View, now: Millis) {
         for target in &view.targets {
             let slots = view.configuration.services.get(&target.service);
@@ -88,13 +90,13 @@
                 .targets
                 .entry(target.target.clone())
                 .or_insert_with(|| TargetState {
-                    pace_ms: FIRST_PACE_MS,
+                    token_ms: INITIAL_TOKEN_MS,
                     service: target.service.clone(),
                     share: TrainingShare::new(slots),
                     training: 0,
                 });
             known.service = target.service.clone();
-            let training = known.training + self.portions.elsewhere(&target.target, now);
+            let training = known.training + self.portions.streams_elsewhere(&target.target, now);
             let busy = self.portions.busy(&target.target, now);
             known.share.observe(busy.saturating_sub(training), now);
         }
@@ -106,17 +108,17 @@
             return 0;
         };
         let allowed = known.share.room(0);
-        let shares = self.shares_of(&known.service);
+        let shares = self.wanted_shares(&known.service);
         let part = self
             .portions
             .part(own, &known.service, shares, allowed, now);
-        let elsewhere = self.portions.elsewhere(target, now);
+        let streams_elsewhere = self.portions.streams_elsewhere(target, now);
         part.saturating_sub(known.training)
-            .min(known.share.room(known.training + elsewhere))
+            .min(known.share.room(known.training + streams_elsewhere))
     }
 
-    /// Tells whether a target's weights are older than the trainer takes samples of.
-    fn is_too_old(&self, trainer: &TrainerName, target: &TargetName) -> bool {
+    /// Returns whether a target's weights are older than the trainer's staleness bound allows.
+    fn has_stale_weights(&self, trainer: &TrainerName, target: &TargetName) -> bool {
         let weights = self.portions.weights(target);
         let (Some(trainer), Some(weights)) = (self.trainers.get(trainer), weights) else {
             return false;
@@ -126,21 +128,22 @@
         matches!(order.freshness(weights, bound), Freshness::TooOld { .. })
     }
 
-    /// Adds up the shares of the trainers that want work of a service.
-    fn shares_of(&self, service: &ServiceName) -> u32 {
+    /// Returns the sum of the shares of the trainers that have samples of a service to generate.
+    fn wanted_shares(&self, service: &ServiceName) -> u32 {
         let wanting = self.trainers.values().filter(|trainer| {
-            trainer.rules.service == *service && (!trainer.queue.is_empty() || trainer.runs > 0)
+            trainer.rules.service == *service
+                && (!trainer.queue.is_empty() || trainer.running_streams > 0)
         });
         wanting.map(|trainer| trainer.rules.share).sum()
     }
 
-    /// Returns this host's part of the training, for the other hosts.
+    /// Returns the report of this host's training for the other hosts.
     pub(super) fn portion(&self, own: &HostName) -> Portion {
         let streams = self.targets.iter().filter(|(_, known)| known.training > 0);
         let services: BTreeSet<_> = self.targets.values().map(|known| &known.service).collect();
         let shares = services
             .into_iter()
-            .map(|service| (service.clone(), self.shares_of(service)))
+            .map(|service| (service.clone(), self.wanted_shares(service)))
             .filter(|(_, shares)| *shares > 0);
         Portion {
             host: own.clone(),
@@ -151,18 +154,19 @@
         }
     }
 
-    /// Cuts streams off targets whose headroom for the interactive is eaten; they resume later.
-    fn cut(&mut self, own: &HostName, now: Millis) {
-        let mut cuts = Vec::new();
+    /// Preempts training streams on targets where training takes the headroom kept for callers'
+    /// requests. The streams with the fewest tokens go first; they resume later on any target.
+    fn preempt(&mut self, own: &HostName, now: Millis) {
+        let mut preempted = Vec::new();
         for (target, known) in &self.targets {
-            let all = known.training + self.portions.elsewhere(target, now);
+            let all = known.training + self.portions.streams_elsewhere(target, now);
             let wanted = known.share.cuts(all);
             if wanted > 0 && known.training > 0 {
-                log::info!(target_name:% = target, host:% = own, wanted; "training is cut");
-                cuts.push((target.clone(), (wanted * known.training).div_ceil(all)));
+                log::info!(target_name:% = target, host:% = own, wanted; "training preempted");
+                preempted.push((target.clone(), (wanted * known.training).div_ceil(all)));
             }
         }
-        for (target, count) in cuts {
+        for (target, count) in preempted {
             let mut streams: Vec<_> = self
                 .running
                 .values()
@@ -176,9 +180,7 @@
         }
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // Starts
-
+    /// Starts jobs in the order of the trainers' shares until no trainer can start another.
     fn dispatch(&mut self, shared: &Arc<Shared>, view: &View, now: Millis) -> Vec<Stream> {
         let mut streams = Vec::new();
         if shared.draining() {
@@ -187,7 +189,7 @@
         self.set_shares(view, now);
         let mut blocked: Vec<TrainerName> = Vec::new();
         while let Some(name) = self.shares.next(now, 1.0, |name| !blocked.contains(name)) {
-            if let Some(stream) = self.begin(shared, view, &name, now) {
+            if let Some(stream) = self.start_next(shared, view, &name, now) {
                 streams.push(stream);
             } else {
                 self.shares.refund(&name, 1.0);
@@ -197,14 +199,15 @@
         streams
     }
 
+    /// Updates the share, deadline and queue length of each trainer.
     fn set_shares(&mut self, view: &View, now: Millis) {
         for (name, trainer) in &mut self.trainers {
             if trainer.queue.is_empty() {
-                trainer.since = now;
+                trainer.queued_since = now;
             }
             let rules = ShareRules {
                 share: trainer.rules.share,
-                deadline: Some(trainer.since + Millis(trainer.rules.step_ms)),
+                deadline: Some(trainer.queued_since + Millis(trainer.rules.step_ms)),
                 rest: Millis::ZERO,
                 waiting: trainer.queue.len() as u32,
             };
@@ -217,8 +220,8 @@
         }
     }
 
-    /// Begins a trainer's next job on the best target with room.
-    fn begin(
+    /// Starts a trainer's next job on the best target with room.
+    fn start_next(
         &mut self,
         shared: &Arc<Shared>,
         view: &View,
@@ -233,20 +236,20 @@
             .clone();
         let model = service.model.clone();
         let job = self.trainers.get_mut(name)?.queue.pop_front()?;
-        self.attempt += 1;
-        let attempt = self.attempt;
-        let resumed = job.partial.tokens.len() as u32;
+        self.last_attempt += 1;
+        let attempt = self.last_attempt;
+        let resumed_tokens = job.partial.tokens.len() as u32;
         let event = if job.hedge {
             SampleEvent::Hedged(target.target.clone())
         } else {
-            SampleEvent::Started(target.target.clone(), resumed)
+            SampleEvent::Started(target.target.clone(), resumed_tokens)
         };
         self.journal.record(now, &job.partial.id, event);
         if let Some(known) = self.targets.get_mut(&target.target) {
             known.training += 1;
         }
         if let Some(trainer) = self.trainers.get_mut(name) {
-            trainer.runs += 1;
+            trainer.running_streams += 1;
         }
         let host = shared.settings.host.as_str();
         let running = Arc::new(RunningStream {
@@ -256,14 +259,14 @@
             is_hedge: job.hedge,
             request: stream::request_name(&job.partial.id, attempt, host),
             spec: job.spec,
-            started: now,
+            started_at: now,
             target: target.target.clone(),
             progress: Mutex::new(StreamProgress {
                 hedge: None,
-                heard: now,
+                last_token_at: now,
                 move_to: None,
                 partial: job.partial,
-                resumed,
+                resumed_tokens,
             }),
         });
         self.running.insert(attempt, Arc::clone(&running));
@@ -277,7 +280,9 @@
         })
     }
 
-    /// Chooses the target that the job is meant for, else the one that its group prefers.
+    /// Returns the best target with room for a job: the preferred one, then any that the job need
+    /// not avoid, then one in this data centre, then the one that its group hashes to, which
+    /// keeps a group together.
     fn choose<'a>(
         &self,
         shared: &Arc<Shared>,
@@ -287,21 +292,21 @@
         now: Millis,
     ) -> Option<&'a TargetEntry> {
         let targets = view.targets.iter();
-        let fitting = targets.filter(|target| {
+        let eligible = targets.filter(|target| {
             target.service == *service
                 && target.state == Platform::Live
                 && !self.is_slow(&target.target)
-                && !self.is_too_old(&job.partial.id.trainer, &target.target)
+                && !self.has_stale_weights(&job.partial.id.trainer, &target.target)
                 && self.room(&shared.settings.host, &target.target, now) > 0
         });
         let id = &job.partial.id;
         let group = format!("{}/{}/{}", id.trainer, id.step, id.group);
-        fitting.max_by_key(|target| {
-            let is_meant = job.to.as_ref() == Some(&target.target);
-            let is_near = target.dc == shared.settings.dc;
+        eligible.max_by_key(|target| {
+            let is_preferred = job.preferred.as_ref() == Some(&target.target);
+            let is_local = target.dc == shared.settings.dc;
             let affinity = stable_hash(format!("{group}\0{}", target.target).as_bytes());
             let is_avoided = stream::is_avoided(job, &target.target);
-            (is_meant, !is_avoided, is_near, affinity)
+            (is_preferred, !is_avoided, is_local, affinity)
         })
     }
 }
--- a/crates/godwitspool-entry/src/rollout/journal.rs
+++ b/crates/godwitspool-entry/src/rollout/journal.rs
@@ -1,30 +1,30 @@
-//! What happened to samples, bounded, for `godwitspool explain`.
+//! Bounded journal of the events of samples, for `godwitspool explain`.
 
 use std::{collections::VecDeque, fmt};
 
 use godwitspool_rollout::SampleId;
 use godwitspool_types::{Millis, TargetName, WeightVersion};
 
-const MOST_ENTRIES: usize = 20_000;
+const MAX_ENTRIES: usize = 20_000;
 
-/// What happened to a sample.
+/// An event of a sample. Numbers are the tokens that the sample has.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum SampleEvent {
-    /// Its stream broke; the tokens so far stay.
+    /// The stream broke off for the given cause. The tokens so far are kept.
     Broken(TargetName, String, u32),
-    /// It is no longer wanted.
+    /// The sample is no longer wanted.
     Cancelled,
-    /// Its KV cache was exported.
+    /// The target exported the KV cache.
     Exported(TargetName, u32),
-    /// A second stream was started.
+    /// A second stream was started on the target.
     Hedged(TargetName),
-    /// It was moved because of lateness or a reclaim.
+    /// The sample was moved off the target with its tokens only, without a KV cache.
     Moved(TargetName, u32),
-    /// Its scoring failed.
+    /// Scoring failed for the given cause.
     Unscored(String),
-    /// It was started, or resumed behind tokens.
+    /// The sample was started, or resumed after its tokens so far.
     Started(TargetName, u32),
-    /// It is whole, with the versions that produced it.
+    /// The sample is complete, with the versions that produced it.
     Whole(u32, Vec<WeightVersion>),
 }
 
@@ -58,15 +58,15 @@
 }
 
 impl Journal {
-    /// Appends an event; the oldest one goes once there are too many.
+    /// Appends an event, and evicts the oldest one when there are too many.
     pub(crate) fn record(&mut self, now: Millis, id: &SampleId, event: SampleEvent) {
-        if self.entries.len() == MOST_ENTRIES {
+        if self.entries.len() == MAX_ENTRIES {
             self.entries.pop_front();
         }
         self.entries.push_back((now, id.clone(), event));
     }
 
-    /// Lists what happened to a sample.
+    /// Returns the events of a sample, one line each.
     pub(crate) fn explain(&self, id: &SampleId) -> Vec<String> {
         let own = self.entries.iter().filter(|(_, entry, _)| entry == id);
         own.map(|(at, _, event)| format!("{:>9.3} s  {event}", at.seconds()))
--- a/crates/godwitspool-entry/src/rollout/mod.rs
+++ b/crates/godwitspool-entry/src/rollout/mod.rs
@@ -1,7 +1,8 @@
-//! What lives for a step: trainers' groups, samples and batches.
+//! State with the lifetime of a training step: trainers' groups, samples and batches.
 //!
-//! [`rollouts`](rollouts::Rollouts) holds every trainer's steps and carries out what they decide,
-//! `dispatch` starts samples on targets and moves those that are late, `stream` makes one sample.
+//! [`Rollouts`](rollouts::Rollouts) keeps every trainer's steps and executes the actions that they
+//! decide. `dispatch` starts samples on targets, `moves` moves or hedges late samples, and `stream`
+//! generates one sample on one target.
 
 pub(crate) mod dispatch;
 pub(crate) mod journal;
--- a/crates/godwitspool-entry/src/rollout/moves.rs
+++ b/crates/godwitspool-entry/src/rollout/moves.rs
@@ -1,4 +1,5 @@
-//! Moves samples that are late or whose target is reclaimed, and puts the longest first.
+//! Moves or hedges samples that are late, moves samples off reclaimed targets, and sorts the
+//! queues.
 
 use std::collections::HashMap;
 
@@ -10,42 +11,42 @@
 use godwitspool_types::{HostName, Millis, TargetName};
 
 use super::{
-    dispatch::FIRST_PACE_MS,
+    dispatch::INITIAL_TOKEN_MS,
     rollouts::State,
     running::{Job, RunningStream},
     stream,
 };
 
-/// Tokens from which a stream tells its target's pace.
-const PACE_TOKENS: u32 = 5;
-/// Part by which an empty target's pace nears the usual one, each time.
-const FORGETTING: f64 = 0.02;
-/// A target this much slower than the median gets no new samples.
-const SLOW_FACTOR: f64 = 3.0;
+/// A stream with fewer new tokens than this isn't used to measure its target.
+const MIN_PACE_TOKENS: u32 = 5;
+/// Part by which the measured time per token of an idle target moves back to the initial one at
+/// each measurement, since an old measurement may no longer hold.
+const IDLE_PACE_DECAY: f64 = 0.02;
+/// A target slower than the median of its service by this factor gets no new samples.
+const SLOW_TARGET_FACTOR: f64 = 3.0;
 
 impl State {
-    /// Measures the pace of each target by its present streams.
+    /// Measures the time per token of each target from its running streams.
     pub(super) fn measure_paces(&mut self, now: Millis) {
         let mut sums: HashMap<TargetName, (f64, f64)> = HashMap::new();
         for running in self.running.values() {
             let progress = running.progress();
-            let made = progress.partial.tokens.len() as u32 - progress.resumed;
-            if made >= PACE_TOKENS {
+            let new_tokens = progress.partial.tokens.len() as u32 - progress.resumed_tokens;
+            if new_tokens >= MIN_PACE_TOKENS {
                 let sum = sums.entry(running.target.clone()).or_default();
-                sum.0 += (now - running.started).0 as f64;
-                sum.1 += f64::from(made);
+                sum.0 += (now - running.started_at).0 as f64;
+                sum.1 += f64::from(new_tokens);
             }
         }
         for (target, known) in &mut self.targets {
             match sums.get(target) {
-                Some((ms, tokens)) => known.pace_ms = ms / tokens,
-                // What is known of an empty target gets old.
-                None => known.pace_ms += FORGETTING * (FIRST_PACE_MS - known.pace_ms),
+                Some((ms, tokens)) => known.token_ms = ms / tokens,
+                None => known.token_ms += IDLE_PACE_DECAY * (INITIAL_TOKEN_MS - known.token_ms),
             }
         }
     }
 
-    /// Tells whether a target is much slower than the others of its service.
+    /// Returns whether a target is much slower than the others of its service.
     pub(super) fn is_slow(&self, target: &TargetName) -> bool {
         let Some(known) = self.targets.get(target) else {
             return false;
@@ -54,19 +55,20 @@
             .targets
             .values()
             .filter(|peer| peer.service == known.service);
-        let mut paces: Vec<f64> = peers.map(|peer| peer.pace_ms).collect();
+        let mut paces: Vec<f64> = peers.map(|peer| peer.token_ms).collect();
         paces.sort_by(f64::total_cmp);
-        known.pace_ms > SLOW_FACTOR * paces[paces.len() / 2]
+        known.token_ms > SLOW_TARGET_FACTOR * paces[paces.len() / 2]
     }
 
-    /// Puts what was begun first, then one sample of each group, then the longest to expect.
+    /// Sorts each queue: started samples first, then the first sample of each group, then the
+    /// others. Within these, earlier steps and then longer expected samples come first.
     pub(super) fn sort_queues(&mut self) {
         let mut longest: HashMap<(StepNumber, u32), u32> = HashMap::new();
         for running in self.running.values() {
-            let most = longest
+            let longest_run = longest
                 .entry((running.id.step, running.id.group))
                 .or_default();
-            *most = (*most).max(running.progress().partial.tokens.len() as u32);
+            *longest_run = (*longest_run).max(running.progress().partial.tokens.len() as u32);
         }
         for trainer in self.trainers.values_mut() {
             let stragglers = &trainer.stragglers;
@@ -81,8 +83,8 @@
             trainer.queue.make_contiguous().sort_by(|a, b| {
                 let key = |job: &Job| {
                     let id = &job.partial.id;
-                    let is_fresh = job.partial.tokens.is_empty() && job.kv.is_none();
-                    (is_fresh, id.step, is_fresh && id.index > 0)
+                    let is_unstarted = job.partial.tokens.is_empty() && job.kv.is_none();
+                    (is_unstarted, id.step, is_unstarted && id.index > 0)
                 };
                 let length = |job: &Job| lengths[&(job.partial.id.step, job.partial.id.group)];
                 key(a)
@@ -92,14 +94,14 @@
         }
     }
 
-    /// Moves or hedges the samples that hold up their step.
-    pub(super) fn remedy(&mut self, own: &HostName, now: Millis) {
+    /// Moves or hedges samples that are late, for trainers whose queue is empty.
+    pub(super) fn apply_remedies(&mut self, own: &HostName, now: Millis) {
         let mut paces: Vec<_> = self
             .targets
             .iter()
             .map(|(target, known)| TargetPace {
                 target: target.clone(),
-                tokens_per_s: 1_000.0 / known.pace_ms.max(0.1),
+                tokens_per_s: 1_000.0 / known.token_ms.max(0.1),
                 room: self.room(own, target, now),
             })
             .collect();
@@ -130,7 +132,7 @@
             if let Some((_, to)) = hedges.iter().find(|(id, _)| *id == running.id) {
                 let mut progress = running.progress();
                 progress.hedge = Some(to.clone());
-                let partial = stream::part_of(&progress.partial);
+                let partial = stream::copy_partial(&progress.partial);
                 drop(progress);
                 self.enqueue(Job {
                     generation: running.generation,
@@ -138,23 +140,23 @@
                     kv: None,
                     partial,
                     spec: running.spec.clone(),
-                    to: Some(to.clone()),
+                    preferred: Some(to.clone()),
                     avoid: Some(running.target.clone()),
                 });
             }
         }
     }
 
-    /// Moves the samples off targets that are reclaimed within seconds.
-    pub(super) fn reclaim(&mut self, own: &HostName, view: &View, now: Millis) {
-        let going = |target: &TargetName| {
+    /// Moves samples off targets that the platform reclaims within seconds.
+    pub(super) fn move_off_reclaimed(&mut self, own: &HostName, view: &View, now: Millis) {
+        let is_reclaimed = |target: &TargetName| {
             let known = view.targets.iter().find(|entry| entry.target == *target);
             known.is_some_and(|entry| entry.state == Platform::Reclaimed)
         };
         let streams: Vec<_> = self
             .running
             .values()
-            .filter(|running| going(&running.target) && running.progress().move_to.is_none())
+            .filter(|running| is_reclaimed(&running.target) && running.progress().move_to.is_none())
             .cloned()
             .collect();
         if streams.is_empty() {
@@ -168,28 +170,30 @@
             room: live.map(|entry| self.room(own, &entry.target, now)).sum(),
             ..ReclaimBudget::default()
         };
-        let reclaimed = streams.iter().map(|running| self.reclaimed(running));
+        let reclaimed = streams.iter().map(|running| self.reclaimed_stream(running));
         for (id, chosen) in plan_reclaim(reclaimed.collect(), &budget) {
             let stream = streams.iter().find(|running| running.id == id);
-            // Each move keeps the tokens; only what ends in time stays.
+            // All moves keep the tokens. Only samples expected to end in time stay.
             if let Some(running) = stream.filter(|_| chosen != ReclaimMove::Finish) {
                 running.progress().move_to = Some(TargetName::default());
             }
         }
     }
 
-    fn reclaimed(&self, running: &RunningStream) -> ReclaimedStream {
+    fn reclaimed_stream(&self, running: &RunningStream) -> ReclaimedStream {
         let tokens = running.progress().partial.tokens.len() as u32;
         let trainer = self.trainers.get(&running.id.trainer);
         let rest = trainer.map_or(0.0, |trainer| {
-            let most = running.spec.max_tokens;
-            trainer.stragglers.expected_rest(&running.id, tokens, most)
+            let token_limit = running.spec.max_tokens;
+            trainer
+                .stragglers
+                .expected_rest(&running.id, tokens, token_limit)
         });
         let pace = self.targets.get(&running.target);
-        let pace_ms = pace.map_or(FIRST_PACE_MS, |known| known.pace_ms);
+        let token_ms = pace.map_or(INITIAL_TOKEN_MS, |known| known.token_ms);
         ReclaimedStream {
             id: running.id.clone(),
-            rest_ms: Millis((rest * pace_ms) as u64),
+            rest_ms: Millis((rest * token_ms) as u64),
             tokens,
         }
     }
@@ -202,13 +206,13 @@
     }
     Some(Attempt {
         id: running.id.clone(),
-        heard: progress.heard,
+        heard: progress.last_token_at,
         max_tokens: running.spec.max_tokens,
         prompt: (running.spec.bytes() / 4) as u32,
-        started: running.started,
+        started: running.started_at,
         target: running.target.clone(),
         tokens: progress.partial.tokens.len() as u32,
-        resumed: progress.resumed,
+        resumed: progress.resumed_tokens,
         hedge: progress.hedge.clone(),
     })
 }
--- a/crates/godwitspool-entry/src/rollout/outbox.rs
+++ b/crates/godwitspool-entry/src/rollout/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages to the other hosts, in order for each.
+//! Messages to other hosts, sent in order to each host.
 
 use std::{
     collections::HashMap,
@@ -15,10 +15,10 @@
 
 use crate::process::shared::Shared;
 
-const STOP_POLL: Duration = Duration::from_millis(100);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One queue and thread for each other host. A message that can't be sent is dropped: the steps
-/// send again what is not confirmed.
+/// One queue and thread for each other host. A message that can't be sent is dropped, since the
+/// steps repeat whatever isn't confirmed.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     queues: Mutex<HashMap<HostName, Sender<RolloutRequest>>>,
@@ -30,31 +30,32 @@
         let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
         let queue = queues
             .entry(to.clone())
-            .or_insert_with(|| open(shared, to.clone()));
+            .or_insert_with(|| open_queue(shared, to.clone()));
         if let Err(mpsc::SendError(message)) = queue.send(message) {
-            let queue = open(shared, to.clone());
-            // The receiver of a queue just opened lives.
+            let queue = open_queue(shared, to.clone());
+            // The receiver of a newly opened queue is still there.
             queue.send(message).unwrap_or_default();
             queues.insert(to.clone(), queue);
         }
     }
 }
 
-fn open(shared: &Arc<Shared>, to: HostName) -> Sender<RolloutRequest> {
+/// Starts the thread of a host's queue.
+fn open_queue(shared: &Arc<Shared>, to: HostName) -> Sender<RolloutRequest> {
     let (sender, receiver) = mpsc::channel();
     let shared = Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("rollout-peer".to_owned())
         .spawn(move || deliver(&shared, &to, &receiver));
     if let Err(error) = spawned {
-        log::error!("no thread for a peer: {error}");
+        log::error!("cannot spawn a thread for messages to another host: {error}");
     }
     sender
 }
 
 fn deliver(shared: &Arc<Shared>, to: &HostName, messages: &Receiver<RolloutRequest>) {
     while !shared.stopped() {
-        let message = match messages.recv_timeout(STOP_POLL) {
+        let message = match messages.recv_timeout(STOP_POLL_INTERVAL) {
             Ok(message) => message,
             Err(mpsc::RecvTimeoutError::Timeout) => continue,
             Err(mpsc::RecvTimeoutError::Disconnected) => return,
@@ -65,7 +66,7 @@
         };
         let request = EntryRequest::Rollout(message);
         if let Err(error) = shared.links.to(member.entry).call(&request) {
-            log::debug!(host:% = to; "rollout message is not delivered: {error}");
+            log::debug!(host:% = to; "cannot deliver a rollout message: {error}");
         }
     }
 }
--- a/crates/godwitspool-entry/src/rollout/peers.rs
+++ b/crates/godwitspool-entry/src/rollout/peers.rs
@@ -1,4 +1,4 @@
-//! What other entries ask on the trainers' path.
+//! Messages of other entries about trainers' steps.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::process::shared::Shared;
 
-/// Answers another entry.
+/// Answers a message of another entry.
 pub(crate) fn answer(shared: &Arc<Shared>, message: RolloutRequest) -> RolloutAnswer {
     match message {
         RolloutRequest::Ask { trainer, request } => {
@@ -24,7 +24,7 @@
             message,
         } => {
             let event = StepEvent::Peer { from, message };
-            shared.rollouts.tell(shared, &trainer, event);
+            shared.rollouts.handle_event(shared, &trainer, event);
             RolloutAnswer::Taken
         }
     }
--- a/crates/godwitspool-entry/src/rollout/portions.rs
+++ b/crates/godwitspool-entry/src/rollout/portions.rs
@@ -1,16 +1,18 @@
-//! How training on targets is divided among the hosts that place it.
+//! Division of the training on each target among the hosts that place it.
 //!
-//! Every host says what it runs and the shares of its trainers that want work; each takes its part
-//! of what a target may train. A host that is silent for a while counts no more.
+//! Every host reports its training streams and the shares of its trainers with samples to generate.
+//! From these each host computes its part of the streams that a target allows. Reports that are too
+//! old are ignored.
 
 use std::collections::{BTreeMap, HashMap};
 
 use godwitspool_connection::messages::{Portion, TargetLoad};
 use godwitspool_types::{HostName, Millis, ServiceName, TargetName, WeightVersion};
 
-const FORGET_MS: Millis = Millis(2_000);
+/// Older reports are ignored.
+const REPORT_TTL: Millis = Millis(2_000);
 
-/// What is known of the other hosts' training, and of the targets' load.
+/// The latest reports of other hosts' training and of the targets' loads.
 #[derive(Debug, Default)]
 pub(super) struct Portions {
     loads: HashMap<TargetName, (TargetLoad, Millis)>,
@@ -18,36 +20,39 @@
 }
 
 impl Portions {
-    /// Takes in a target's load.
+    /// Takes over a load report of a target.
     pub(super) fn report(&mut self, load: &TargetLoad, now: Millis) {
         self.loads.insert(load.target.clone(), (load.clone(), now));
     }
 
-    /// Returns the version that a target uses, as last reported.
+    /// Returns the weight version of a target, as last reported.
     pub(super) fn weights(&self, target: &TargetName) -> Option<&WeightVersion> {
         self.loads.get(target).map(|(load, _)| &load.weights)
     }
 
-    /// Takes in what another host runs.
-    pub(super) fn learn(&mut self, portion: Portion, now: Millis) {
+    /// Takes over another host's report.
+    pub(super) fn update(&mut self, portion: Portion, now: Millis) {
         self.hosts.insert(portion.host.clone(), (portion, now));
     }
 
-    /// Returns the requests that a target has, as last reported.
+    /// Returns the number of requests on a target, as last reported, or 0 without a recent report.
     pub(super) fn busy(&self, target: &TargetName, now: Millis) -> u32 {
         let report = self.loads.get(target);
-        let fresh = report.filter(|(_, at)| now - *at < FORGET_MS);
+        let fresh = report.filter(|(_, at)| now - *at < REPORT_TTL);
         fresh.map_or(0, |(load, _)| load.busy)
     }
 
-    /// Counts the other hosts' training streams on a target.
-    pub(super) fn elsewhere(&self, target: &TargetName, now: Millis) -> u32 {
-        let streams = self.heard(now).flat_map(|portion| &portion.streams);
-        let own = streams.filter(|(name, _)| name == target);
-        own.map(|(_, streams)| streams).sum()
+    /// Returns the number of other hosts' training streams on a target.
+    pub(super) fn streams_elsewhere(&self, target: &TargetName, now: Millis) -> u32 {
+        let streams = self
+            .fresh_portions(now)
+            .flat_map(|portion| &portion.streams);
+        let on_target = streams.filter(|(name, _)| name == target);
+        on_target.map(|(_, streams)| streams).sum()
     }
 
-    /// Returns a host's part of the streams that a target may train. The parts add up to all.
+    /// Returns this host's part of the `allowed` training streams on a target of `service`.
+    /// `shares` are this host's wanted shares. The parts of all hosts add up to `allowed`.
     pub(super) fn part(
         &self,
         own: &HostName,
@@ -56,27 +61,27 @@
         allowed: u32,
         now: Millis,
     ) -> u32 {
-        let mut before = 0;
-        let mut all = shares;
-        for portion in self.heard(now) {
+        let mut shares_before = 0;
+        let mut total_shares = shares;
+        for portion in self.fresh_portions(now) {
             let wanted = portion.shares.iter().filter(|(name, _)| name == service);
             let wanted: u32 = wanted.map(|(_, shares)| shares).sum();
-            all += wanted;
+            total_shares += wanted;
             if portion.host < *own {
-                before += wanted;
+                shares_before += wanted;
             }
         }
-        if all == 0 {
+        if total_shares == 0 {
             return allowed;
         }
-        let up_to = |shares: u32| u64::from(allowed) * u64::from(shares) / u64::from(all);
-        (up_to(before + shares) - up_to(before)) as u32
+        let up_to = |shares: u32| u64::from(allowed) * u64::from(shares) / u64::from(total_shares);
+        (up_to(shares_before + shares) - up_to(shares_before)) as u32
     }
 
-    fn heard(&self, now: Millis) -> impl Iterator<Item = &Portion> {
+    fn fresh_portions(&self, now: Millis) -> impl Iterator<Item = &Portion> {
         let hosts = self.hosts.values();
         hosts
-            .filter(move |(_, at)| now - *at < FORGET_MS)
+            .filter(move |(_, at)| now - *at < REPORT_TTL)
             .map(|(portion, _)| portion)
     }
 }
--- a/crates/godwitspool-entry/src/rollout/reports.rs
+++ b/crates/godwitspool-entry/src/rollout/reports.rs
@@ -1,4 +1,4 @@
-//! What the rollouts of this host tell operators and trainers.
+//! Reports on steps and samples for operators and trainers.
 
 use godwitspool_rollout::SampleId;
 use serde_json::{Value, json};
@@ -6,8 +6,9 @@
 use super::rollouts::{Rollouts, Trainer};
 
 impl Rollouts {
-    /// Returns what happened to a sample on this host, for operators.
-    pub(crate) fn explained(&self, id: &SampleId) -> Option<Value> {
+    /// Returns the events and state of a sample on this host, for operators. `None` if the host
+    /// doesn't know it.
+    pub(crate) fn sample_report(&self, id: &SampleId) -> Option<Value> {
         let state = self.lock();
         let events = state.journal.explain(id);
         let trainer = state.trainers.get(&id.trainer)?;
@@ -39,8 +40,8 @@
         Value::Object(trainers.collect())
     }
 
-    /// Lists what happened to a sample on this host.
-    pub(crate) fn explain(&self, id: &SampleId) -> Vec<String> {
+    /// Returns the events of a sample on this host.
+    pub(crate) fn sample_events(&self, id: &SampleId) -> Vec<String> {
         self.lock().journal.explain(id)
     }
 }
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -1,4 +1,4 @@
-//! Every trainer's steps on this host, and the carrying out of what they decide.
+//! Every trainer's steps on this host, and the execution of the actions that they decide.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -34,9 +34,9 @@
 use crate::process::{billing::AnswerUsage, demand::Loads, shared::Shared};
 
 /// Time without a token after which a sample is hedged.
-const SILENT_MS: Millis = Millis(1_500);
-/// Time in which a home answers, its replica's confirmation included.
-const ANSWER_BOUND: Duration = Duration::from_millis(2_500);
+const HEDGE_IDLE_TIMEOUT: Millis = Millis(1_500);
+/// Longest wait for an answer of the steps, which includes the replica's confirmation.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// All trainers' steps on this host.
 #[derive(Debug)]
@@ -47,16 +47,21 @@
     state: Mutex<State>,
 }
 
-/// What the parts of the rollouts share, under one lock that is never held over I/O.
+/// State behind one lock, which is never held during I/O.
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) journal: Journal,
     pub(super) portions: Portions,
+    /// Channels of the requests that wait for an answer, by reply number.
     replies: HashMap<u64, Sender<Answer>>,
-    reply: u64,
-    pub(super) attempt: u64,
+    /// Last reply number given out.
+    last_reply: u64,
+    /// Last stream number given out.
+    pub(super) last_attempt: u64,
+    /// Streams by number.
     pub(super) running: HashMap<u64, Arc<RunningStream>>,
     pub(super) scoring: Scoring,
+    /// Complete samples that wait for their score, with their generation.
     pub(super) unscored: HashMap<String, (u64, Sample)>,
     pub(super) shares: Shares,
     pub(super) targets: HashMap<TargetName, TargetState>,
@@ -67,23 +72,27 @@
 #[derive(Debug)]
 pub(super) struct Trainer {
     pub(super) queue: VecDeque<Job>,
-    ranked: Vec<HostName>,
+    /// Hosts by their rank for the trainer, as last reported to the steps.
+    ranked_hosts: Vec<HostName>,
+    /// Published weights, as last reported to the steps.
     version: Option<WeightVersion>,
     pub(super) rules: TrainerRules,
-    /// Streams that run.
-    pub(super) runs: u32,
-    pub(super) since: Millis,
+    /// Number of this trainer's running streams.
+    pub(super) running_streams: u32,
+    /// Time since which the queue has not been empty.
+    pub(super) queued_since: Millis,
     pub(super) steps: TrainerSteps,
     pub(super) stragglers: Stragglers,
 }
 
-/// A target that makes samples.
+/// Training on one target.
 #[derive(Debug)]
 pub(super) struct TargetState {
-    /// Milliseconds that a token takes on it, smoothed.
-    pub(super) pace_ms: f64,
+    /// Time per token, as a moving average.
+    pub(super) token_ms: f64,
     pub(super) service: ServiceName,
     pub(super) share: TrainingShare,
+    /// Number of this host's training streams on the target.
     pub(super) training: u32,
 }
 
@@ -101,15 +110,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until a step's state changes, at most for `bound`.
-    pub(super) fn wait(&self, bound: Duration) {
-        drop(self.changed.wait_timeout(self.lock(), bound));
+    /// Waits until a step's state changes, at most for `timeout`.
+    pub(super) fn wait(&self, timeout: Duration) {
+        drop(self.changed.wait_timeout(self.lock(), timeout));
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // Requests
-
-    /// Asks the home of a trainer's steps, wherever it is.
+    /// Sends a request to the home host of a trainer's steps, which may be this one.
     pub(crate) fn ask(
         &self,
         shared: &Arc<Shared>,
@@ -127,7 +133,8 @@
         ask_remote(shared, home, message).unwrap_or(answer)
     }
 
-    /// Asks this host's state; answered once the replica holds what the answer rests on.
+    /// Passes a request to the steps on this host. They answer once the replica holds the state
+    /// that the answer depends on.
     pub(crate) fn ask_local(
         &self,
         shared: &Arc<Shared>,
@@ -137,52 +144,56 @@
         let (sender, receiver) = mpsc::channel();
         let reply = {
             let mut state = self.lock();
-            state.reply += 1;
-            let reply = state.reply;
+            state.last_reply += 1;
+            let reply = state.last_reply;
             state.replies.insert(reply, sender);
             reply
         };
-        self.tell(shared, trainer, StepEvent::Request { reply, request });
-        let answer = receiver.recv_timeout(ANSWER_BOUND);
+        self.handle_event(shared, trainer, StepEvent::Request { reply, request });
+        let answer = receiver.recv_timeout(ANSWER_TIMEOUT);
         self.lock().replies.remove(&reply);
         answer.unwrap_or(Answer::Refused(Refusal::Moving(None)))
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // Events
-
-    /// Lets a trainer's steps decide on an event, and carries out what they decide.
-    pub(crate) fn tell(&self, shared: &Arc<Shared>, trainer: &TrainerName, event: StepEvent) {
+    /// Passes an event to a trainer's steps, and executes the actions that they decide.
+    pub(crate) fn handle_event(
+        &self,
+        shared: &Arc<Shared>,
+        trainer: &TrainerName,
+        event: StepEvent,
+    ) {
         let view = shared.view();
         let now = self.clock.now();
         let mut state = self.lock();
-        let Some(held) = state.trainer(shared, &view, trainer, now) else {
+        let Some(trainer_state) = state.trainer(shared, &view, trainer, now) else {
             return;
         };
-        let mut actions = held.introduce(&view, trainer, &shared.settings.host, now);
-        actions.extend(held.steps.decide(event, now));
-        held.forget_handed_over();
-        let sends = state.carry_out(shared, trainer, actions);
-        // Queued under the lock, so that messages leave in the order of the decisions.
-        for (to, message) in sends {
+        let mut actions =
+            trainer_state.update_from_view(&view, trainer, &shared.settings.host, now);
+        actions.extend(trainer_state.steps.decide(event, now));
+        trainer_state.forget_old_steps();
+        let messages = state.execute(shared, trainer, actions);
+        // Messages are queued under the lock, so that they keep the order of the decisions.
+        for (to, message) in messages {
             self.outbox.send(shared, &to, message);
         }
         drop(state);
         self.changed.notify_all();
     }
 
-    /// Takes in the view and the time for all trainers.
+    /// Updates all trainers for the current view and time, and removes those that are no longer
+    /// configured.
     pub(super) fn tick(&self, shared: &Arc<Shared>) {
         let view = shared.view();
         for trainer in view.configuration.trainers.keys() {
-            self.tell(shared, trainer, StepEvent::Tick);
+            self.handle_event(shared, trainer, StepEvent::Tick);
         }
         let mut state = self.lock();
         let known = &view.configuration.trainers;
         state.trainers.retain(|name, _| known.contains_key(name));
     }
 
-    /// Takes in how busy engines are.
+    /// Takes over load reports of engines.
     pub(crate) fn report(&self, loads: &[TargetLoad]) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -191,13 +202,13 @@
         }
     }
 
-    /// Takes in another host's part of the training.
+    /// Takes over another host's report of its part of the training.
     pub(crate) fn update_portion(&self, portion: Portion) {
         let now = self.clock.now();
-        self.lock().portions.learn(portion, now);
+        self.lock().portions.update(portion, now);
     }
 
-    /// Tells the other hosts of this one's part of the training.
+    /// Reports this host's part of the training to the other hosts.
     pub(super) fn send_portion(&self, shared: &Arc<Shared>) {
         let own = &shared.settings.host;
         let portion = self.lock().portion(own);
@@ -209,13 +220,13 @@
         }
     }
 
-    /// Returns how many samples run and wait, by service.
+    /// Returns the number of running and waiting samples by service.
     pub(crate) fn loads(&self) -> Loads {
         let state = self.lock();
         let mut loads = Loads::new();
         for trainer in state.trainers.values() {
             let load = loads.entry(trainer.rules.service.clone()).or_default();
-            load.running += trainer.runs;
+            load.running += trainer.running_streams;
             load.waiting += trainer.queue.len() as u32;
         }
         loads
@@ -223,6 +234,7 @@
 }
 
 impl State {
+    /// Returns the state of a trainer, which is created when the configuration has it.
     fn trainer(
         &mut self,
         shared: &Arc<Shared>,
@@ -235,14 +247,14 @@
             let host = shared.settings.host.clone();
             Trainer {
                 queue: VecDeque::new(),
-                ranked: Vec::new(),
+                ranked_hosts: Vec::new(),
                 version: None,
                 rules: rules.clone(),
-                runs: 0,
-                since: now,
+                running_streams: 0,
+                queued_since: now,
                 steps: TrainerSteps::new(name.clone(), host, StepRules::default()),
                 stragglers: Stragglers::new(StragglerRules {
-                    silent_ms: SILENT_MS,
+                    silent_ms: HEDGE_IDLE_TIMEOUT,
                     ..StragglerRules::default()
                 }),
             }
@@ -255,24 +267,24 @@
         Some(trainer)
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         shared: &Shared,
         trainer: &TrainerName,
         actions: Vec<StepAction>,
     ) -> Vec<(HostName, RolloutRequest)> {
         let own = &shared.settings.host;
-        let mut sends = Vec::new();
+        let mut messages = Vec::new();
         for action in actions {
             match action {
                 StepAction::Answer { reply, answer } => {
                     if let Some(sender) = self.replies.remove(&reply) {
-                        // A caller that has left wants no answer.
+                        // The request may have timed out and dropped its receiver.
                         sender.send(answer).unwrap_or_default();
                     }
                 }
                 StepAction::Cancel { id } => self.cancel(&id),
-                StepAction::Count(handed) => self.count(shared, trainer, handed),
+                StepAction::Count(batch) => self.bill_batch(shared, trainer, batch),
                 StepAction::Send { to, message } => {
                     let from = own.clone();
                     let trainer = trainer.clone();
@@ -281,7 +293,7 @@
                         trainer,
                         message,
                     };
-                    sends.push((to, message));
+                    messages.push((to, message));
                 }
                 StepAction::Start {
                     generation,
@@ -293,36 +305,37 @@
                     kv: None,
                     partial: Sample::new(id),
                     spec,
-                    to: None,
+                    preferred: None,
                     avoid: None,
                 }),
             }
         }
-        sends
+        messages
     }
 
-    /// Counts a batch for the trainer's workspace; stewards hold the count soon after.
-    fn count(&self, shared: &Shared, trainer: &TrainerName, handed: HandedOver) {
-        let Some(held) = self.trainers.get(trainer) else {
+    /// Bills an acknowledged batch to the trainer's workspace. This doesn't wait for a steward to
+    /// hold the usage record.
+    fn bill_batch(&self, shared: &Shared, trainer: &TrainerName, batch: HandedOver) {
+        let Some(trainer_state) = self.trainers.get(trainer) else {
             return;
         };
         let caller = Caller {
-            service: held.rules.service.clone(),
-            workspace: held.rules.workspace.clone(),
+            service: trainer_state.rules.service.clone(),
+            workspace: trainer_state.rules.workspace.clone(),
         };
         let request = RequestId::random();
-        log::info!(request:%, trainer:%, step = handed.step.0; "batch is billed");
+        log::info!(request:%, trainer:%, step = batch.step.0; "batch billed");
         shared.billing.queue_record(
             shared,
             &caller,
             AnswerUsage {
                 request,
-                tokens: handed.tokens,
+                tokens: batch.tokens,
             },
         );
     }
 
-    /// Queues a job; what was begun goes first.
+    /// Queues a job. A sample that already has tokens or a KV cache goes to the front.
     pub(super) fn enqueue(&mut self, job: Job) {
         if let Some(trainer) = self.trainers.get_mut(&job.partial.id.trainer) {
             if job.partial.tokens.is_empty() && job.kv.is_none() {
@@ -333,7 +346,7 @@
         }
     }
 
-    /// Stops all streams of a sample that is whole or no longer wanted.
+    /// Stops all streams of a sample that is complete or no longer wanted.
     pub(super) fn cancel(&mut self, id: &SampleId) {
         for running in self.running.values().filter(|running| running.id == *id) {
             running.cancelled.store(true, Ordering::Release);
@@ -345,8 +358,8 @@
 }
 
 impl Trainer {
-    /// Forgets the lengths of groups in steps before the oldest open one.
-    fn forget_handed_over(&mut self) {
+    /// Drops the sample lengths of steps before the oldest open one.
+    fn forget_old_steps(&mut self) {
         let oldest = self.steps.image().progress().next();
         if let Some(StepNumber(oldest)) = oldest.map(|(step, _)| step)
             && oldest > 0
@@ -355,8 +368,8 @@
         }
     }
 
-    /// Tells the steps of the hosts and of the version in the view.
-    fn introduce(
+    /// Reports changed host ranks and a newly published version in the view to the steps.
+    fn update_from_view(
         &mut self,
         view: &View,
         name: &TrainerName,
@@ -365,8 +378,8 @@
     ) -> Vec<StepAction> {
         let ranked = ranking::rank(view, name, &self.rules.dc, own);
         let mut actions = Vec::new();
-        if ranked != self.ranked {
-            self.ranked.clone_from(&ranked);
+        if ranked != self.ranked_hosts {
+            self.ranked_hosts.clone_from(&ranked);
             actions = self.steps.decide(StepEvent::Ranked(ranked), now);
         }
         let configuration = &view.configuration;
@@ -383,6 +396,7 @@
     }
 }
 
+/// Sends a request to a trainer's home host. Returns `None` when there is no answer.
 fn ask_remote(shared: &Arc<Shared>, home: &HostName, message: RolloutRequest) -> Option<Answer> {
     let view = shared.view();
     let member = view.members.iter().find(|member| member.host == *home)?;
@@ -393,11 +407,11 @@
     match answer {
         Ok(EntryAnswer::Rollout(RolloutAnswer::Answer(answer))) => Some(*answer),
         Ok(other) => {
-            log::warn!(host:% = home; "unexpected answer: {other:?}");
+            log::warn!(host:% = home; "unexpected answer from the home host: {other:?}");
             None
         }
         Err(error) => {
-            log::debug!(host:% = home; "home is not reached: {error}");
+            log::debug!(host:% = home; "cannot call the home host: {error}");
             None
         }
     }
--- a/crates/godwitspool-entry/src/rollout/running.rs
+++ b/crates/godwitspool-entry/src/rollout/running.rs
@@ -1,4 +1,4 @@
-//! Samples that are to be made, and the streams that make them.
+//! Samples to generate, and the streams that generate them.
 
 use std::sync::{Mutex, MutexGuard, PoisonError, atomic::AtomicBool};
 
@@ -6,20 +6,23 @@
 use godwitspool_rollout::{GroupSpec, Sample, SampleId};
 use godwitspool_types::{Millis, TargetName};
 
-/// A sample to make, with what was made of it already.
+/// A sample to generate, with the tokens that it already has.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub(super) generation: u64,
+    /// Set for a second stream beside the running one.
     pub(super) hedge: bool,
+    /// KV cache that the previous target exported.
     pub(super) kv: Option<KvHandle>,
     pub(super) partial: Sample,
     pub(super) spec: GroupSpec,
-    /// Target that it is meant for, or that it has just left.
-    pub(super) to: Option<TargetName>,
+    /// Target to use if it has room.
+    pub(super) preferred: Option<TargetName>,
+    /// Target to use only if no other has room, such as the one that the sample has just left.
     pub(super) avoid: Option<TargetName>,
 }
 
-/// A stream that makes a sample.
+/// A stream that generates a sample.
 #[derive(Debug)]
 pub(super) struct RunningStream {
     pub(super) cancelled: AtomicBool,
@@ -27,20 +30,25 @@
     pub(super) id: SampleId,
     pub(super) is_hedge: bool,
     pub(super) progress: Mutex<StreamProgress>,
+    /// Name of the stream on its engine.
     pub(super) request: String,
     pub(super) spec: GroupSpec,
-    pub(super) started: Millis,
+    pub(super) started_at: Millis,
     pub(super) target: TargetName,
 }
 
-/// What a stream has made so far.
+/// The progress of a stream.
 #[derive(Clone, Debug)]
 pub(super) struct StreamProgress {
+    /// Target of the second stream, if there is one.
     pub(super) hedge: Option<TargetName>,
-    pub(super) heard: Millis,
+    pub(super) last_token_at: Millis,
+    /// Set to make the stream stop and the sample move to this target; an empty name means any
+    /// target.
     pub(super) move_to: Option<TargetName>,
     pub(super) partial: Sample,
-    pub(super) resumed: u32,
+    /// Tokens that the sample had when the stream started.
+    pub(super) resumed_tokens: u32,
 }
 
 impl RunningStream {
--- a/crates/godwitspool-entry/src/rollout/scores.rs
+++ b/crates/godwitspool-entry/src/rollout/scores.rs
@@ -1,4 +1,4 @@
-//! Scores of whole samples.
+//! Scoring of complete samples.
 
 use std::{sync::Arc, thread};
 
@@ -12,58 +12,60 @@
 
 const PATH: &str = "/score";
 
-/// Asks for a score; the same sample may be asked for again.
+/// Request to a scorer. It may be repeated for the same sample.
 #[derive(Debug, Serialize)]
-struct Question {
+struct ScoreRequest {
     sample: String,
     tokens: Vec<String>,
 }
 
-/// The score of a sample.
+/// A scorer's answer.
 #[derive(Debug, Deserialize)]
-struct Scored {
+struct ScoreResponse {
     score: f64,
 }
 
-/// Has a whole sample scored, if its trainer wants that, and hands it to its step.
+/// Scores a complete sample if its trainer has a scorer, and passes it to its step.
 pub(super) fn finish(shared: &Arc<Shared>, generation: u64, sample: Sample) {
     let now = shared.rollouts.clock.now();
     let trainer = sample.id.trainer.clone();
     let mut state = shared.rollouts.lock();
-    let Some(held) = state.trainers.get_mut(&trainer) else {
+    let Some(trainer_state) = state.trainers.get_mut(&trainer) else {
         return;
     };
-    held.stragglers
+    trainer_state
+        .stragglers
         .learn(&sample.id, sample.tokens.len() as u32);
-    if held.rules.scorer.as_str().is_empty() {
+    if trainer_state.rules.scorer.as_str().is_empty() {
         drop(state);
         let event = StepEvent::Finished { generation, sample };
-        return shared.rollouts.tell(shared, &trainer, event);
+        return shared.rollouts.handle_event(shared, &trainer, event);
     }
     let key = format!("{}.{generation}", sample.id);
     state.unscored.insert(key.clone(), (generation, sample));
     let actions = state.scoring.decide(ScoreEvent::Ask(key), now);
     drop(state);
-    carry_out(shared, actions);
+    execute(shared, actions);
 }
 
-/// Lets scoring decide on an event.
-pub(super) fn tell(shared: &Arc<Shared>, event: ScoreEvent) {
+/// Passes an event to scoring, and executes the actions that it decides.
+pub(super) fn handle_event(shared: &Arc<Shared>, event: ScoreEvent) {
     let now = shared.rollouts.clock.now();
     let actions = shared.rollouts.lock().scoring.decide(event, now);
-    carry_out(shared, actions);
+    execute(shared, actions);
 }
 
-fn carry_out(shared: &Arc<Shared>, actions: Vec<ScoreAction>) {
+fn execute(shared: &Arc<Shared>, actions: Vec<ScoreAction>) {
     for action in actions {
         match action {
-            ScoreAction::Call(key) => call(shared, key),
-            ScoreAction::Settle(key, score) => settle(shared, &key, score),
+            ScoreAction::Call(key) => spawn_call(shared, key),
+            ScoreAction::Settle(key, score) => submit(shared, &key, score),
         }
     }
 }
 
-fn settle(shared: &Arc<Shared>, key: &str, score: Score) {
+/// Passes a sample with its score to its step.
+fn submit(shared: &Arc<Shared>, key: &str, score: Score) {
     let now = shared.rollouts.clock.now();
     let mut state = shared.rollouts.lock();
     let Some((generation, mut sample)) = state.unscored.remove(key) else {
@@ -77,41 +79,44 @@
     sample.score = score;
     let trainer = sample.id.trainer.clone();
     let event = StepEvent::Finished { generation, sample };
-    shared.rollouts.tell(shared, &trainer, event);
+    shared.rollouts.handle_event(shared, &trainer, event);
 }
 
-fn call(shared: &Arc<Shared>, key: String) {
+fn spawn_call(shared: &Arc<Shared>, key: String) {
     let shared = Arc::clone(shared);
     let spawned = thread::Builder::new()
         .name("score".to_owned())
         .spawn(move || {
-            let event = match ask(&shared, &key) {
+            let event = match call_scorer(&shared, &key) {
                 Ok(score) => ScoreEvent::Answered(key, score),
                 Err(cause) => ScoreEvent::Failed(key, cause),
             };
-            tell(&shared, event);
+            handle_event(&shared, event);
         });
     if let Err(error) = spawned {
-        // Scoring calls again once the call has timed out.
-        log::error!("no thread for a score: {error}");
+        // Scoring repeats the call after its timeout.
+        log::error!("cannot spawn a thread for a call to a scorer: {error}");
     }
 }
 
-fn ask(shared: &Arc<Shared>, key: &str) -> Result<f64, String> {
+/// Calls a live target of the scorer, chosen by the key's hash.
+fn call_scorer(shared: &Arc<Shared>, key: &str) -> Result<f64, String> {
     let view = shared.view();
     let (question, scorer) = {
         let state = shared.rollouts.lock();
         let (_, sample) = state.unscored.get(key).ok_or("no longer wanted")?;
         let trainer = state.trainers.get(&sample.id.trainer);
         let scorer = trainer.map(|trainer| trainer.rules.scorer.clone());
-        let question = Question {
+        let question = ScoreRequest {
             sample: sample.id.to_string(),
             tokens: sample.tokens.iter().map(str::to_owned).collect(),
         };
         (question, scorer.unwrap_or_default())
     };
     let address = scorer_address(&view, &scorer, key).ok_or("no target of the scorer is live")?;
-    let answer = shared.client(address).post::<_, Scored>(PATH, &question);
+    let answer = shared
+        .client(address)
+        .post::<_, ScoreResponse>(PATH, &question);
     answer
         .map(|scored| scored.score)
         .map_err(|error| error.to_string())
--- a/crates/godwitspool-entry/src/rollout/stream.rs
+++ b/crates/godwitspool-entry/src/rollout/stream.rs
@@ -1,4 +1,4 @@
-//! Makes one sample on one target.
+//! Generates one sample on one target.
 
 use std::sync::{Arc, atomic::Ordering};
 
@@ -17,13 +17,13 @@
 };
 use crate::process::shared::{Shared, TargetGuard};
 
-/// Bound on the wait for the next token of a sample.
-const TOKEN_IDLE: Millis = Millis(5_000);
+const TOKEN_IDLE_TIMEOUT: Millis = Millis(5_000);
+/// Weight of a stream's measured time per token in the target's moving average.
 const PACE_SMOOTHING: f64 = 0.1;
 
 /// How a stream ended.
 #[derive(Debug)]
-enum End {
+enum StreamEnd {
     Broken(String),
     Cancelled,
     Exported(Option<KvHandle>),
@@ -31,7 +31,7 @@
     Whole(SampleFinish),
 }
 
-/// A sample's stream on a target.
+/// A sample's stream on a target, before it runs.
 #[derive(Debug)]
 pub(super) struct Stream {
     pub(super) attempt: u64,
@@ -43,43 +43,43 @@
 }
 
 impl Stream {
-    /// Makes the sample, and tells the rollouts how it ended.
+    /// Generates the sample, and hands it to scoring or queues it again.
     pub(super) fn run(mut self, shared: &Arc<Shared>) {
         let end = self.receive(shared);
-        if !matches!(end, End::Whole(_) | End::Exported(_)) {
-            // An engine that is gone has nothing to cancel.
+        if !matches!(end, StreamEnd::Whole(_) | StreamEnd::Exported(_)) {
+            // The engine may be gone, and then there is nothing to cancel.
             self.client
                 .cancel(&self.running.request)
                 .unwrap_or_default();
         }
-        self.settle(shared, end);
+        self.finish_stream(shared, end);
     }
 
-    fn receive(&mut self, shared: &Arc<Shared>) -> End {
+    fn receive(&mut self, shared: &Arc<Shared>) -> StreamEnd {
         let request = self.request();
-        let mut stream = match self.client.generate(&request, TOKEN_IDLE) {
+        let mut stream = match self.client.generate(&request, TOKEN_IDLE_TIMEOUT) {
             Ok(stream) => stream,
-            Err(error) => return End::Broken(error.to_string()),
+            Err(error) => return StreamEnd::Broken(error.to_string()),
         };
         loop {
             if self.running.cancelled.load(Ordering::Acquire) || shared.stopped() {
-                return End::Cancelled;
+                return StreamEnd::Cancelled;
             }
             if self.running.progress().move_to.is_some() {
                 return self.export();
             }
             match stream.next_chunk() {
                 Ok(Some(chunk)) => {
-                    if let Some(end) = self.take(&chunk, shared) {
+                    if let Some(end) = self.handle_chunk(&chunk, shared) {
                         return end;
                     }
                 }
-                Ok(None) => return End::Broken("stream ended without a reason".to_owned()),
+                Ok(None) => return StreamEnd::Broken("stream ended without a reason".to_owned()),
                 Err(error @ CallError::Silent { .. }) => {
                     self.client.condemn_pooled();
-                    return End::Broken(error.to_string());
+                    return StreamEnd::Broken(error.to_string());
                 }
-                Err(error) => return End::Broken(error.to_string()),
+                Err(error) => return StreamEnd::Broken(error.to_string()),
             }
         }
     }
@@ -103,8 +103,9 @@
         }
     }
 
-    /// Takes in a chunk; tells how the stream ended if it did.
-    fn take(&self, chunk: &Chunk, shared: &Arc<Shared>) -> Option<End> {
+    /// Takes over a chunk. Returns how the stream ended if this was the last chunk or an invalid
+    /// one.
+    fn handle_chunk(&self, chunk: &Chunk, shared: &Arc<Shared>) -> Option<StreamEnd> {
         let choice = chunk.choices.first()?;
         let now = shared.rollouts.clock.now();
         let mut progress = self.running.progress();
@@ -112,85 +113,101 @@
         if !choice.delta.content.is_empty() {
             if choice.index as usize != expected {
                 let index = choice.index;
-                return Some(End::Broken(format!("token {index} instead of {expected}")));
+                return Some(StreamEnd::Broken(format!(
+                    "token {index} instead of {expected}"
+                )));
             }
-            let StreamProgress { partial, heard, .. } = &mut *progress;
+            let StreamProgress {
+                partial,
+                last_token_at,
+                ..
+            } = &mut *progress;
             partial.push(&choice.delta.content, &chunk.weights);
-            *heard = now;
+            *last_token_at = now;
         }
         match choice.finish_reason? {
-            Finish::Cancelled => Some(End::Broken("cancelled by the engine".to_owned())),
-            Finish::Exported => Some(End::Exported(None)),
-            Finish::Length => Some(End::Whole(SampleFinish::Length)),
-            Finish::Stop => Some(End::Whole(SampleFinish::Stop)),
+            Finish::Cancelled => Some(StreamEnd::Broken("cancelled by the engine".to_owned())),
+            Finish::Exported => Some(StreamEnd::Exported(None)),
+            Finish::Length => Some(StreamEnd::Whole(SampleFinish::Length)),
+            Finish::Stop => Some(StreamEnd::Whole(SampleFinish::Stop)),
         }
     }
 
-    /// Takes the KV cache along; a target that can't export is left behind its tokens.
-    fn export(&self) -> End {
+    /// Exports the KV cache for the next target. If that fails, the sample moves with its tokens
+    /// only.
+    fn export(&self) -> StreamEnd {
         match self.client.export(&self.running.request) {
-            Ok(handle) => End::Exported(Some(handle)),
+            Ok(handle) => StreamEnd::Exported(Some(handle)),
             Err(error) => {
-                log::debug!(sample:% = self.running.id; "not exported: {error}");
-                End::Moved
+                log::debug!(sample:% = self.running.id; "cannot export the KV cache: {error}");
+                StreamEnd::Moved
             }
         }
     }
 
-    fn settle(self, shared: &Arc<Shared>, end: End) {
+    /// Records the end of the stream. A complete sample goes to scoring; one that ended early is
+    /// queued again with its tokens, unless it is a hedge.
+    fn finish_stream(self, shared: &Arc<Shared>, end: StreamEnd) {
         let now = shared.rollouts.clock.now();
         let progress = self.running.progress().clone();
         let target = self.running.target.clone();
         let mut state = shared.rollouts.lock();
         state.running.remove(&self.attempt);
-        let made = progress.partial.tokens.len() as u32;
+        let token_count = progress.partial.tokens.len() as u32;
         if let Some(known) = state.targets.get_mut(&target) {
             known.training = known.training.saturating_sub(1);
-            let fresh = made.saturating_sub(progress.resumed);
-            if fresh > 0 {
-                let pace = (now - self.running.started).0 as f64 / f64::from(fresh);
-                known.pace_ms += PACE_SMOOTHING * (pace - known.pace_ms);
+            let new_tokens = token_count.saturating_sub(progress.resumed_tokens);
+            if new_tokens > 0 {
+                let measured = (now - self.running.started_at).0 as f64 / f64::from(new_tokens);
+                known.token_ms += PACE_SMOOTHING * (measured - known.token_ms);
             }
         }
         if let Some(trainer) = state.trainers.get_mut(&self.running.id.trainer) {
-            trainer.runs = trainer.runs.saturating_sub(1);
+            trainer.running_streams = trainer.running_streams.saturating_sub(1);
         }
         drop(self.guard);
         let event = match &end {
-            End::Broken(cause) => SampleEvent::Broken(target.clone(), cause.clone(), made),
-            End::Cancelled => SampleEvent::Cancelled,
-            End::Exported(_) => SampleEvent::Exported(target.clone(), made),
-            End::Moved => SampleEvent::Moved(target.clone(), made),
-            End::Whole(_) => {
+            StreamEnd::Broken(cause) => {
+                SampleEvent::Broken(target.clone(), cause.clone(), token_count)
+            }
+            StreamEnd::Cancelled => SampleEvent::Cancelled,
+            StreamEnd::Exported(_) => SampleEvent::Exported(target.clone(), token_count),
+            StreamEnd::Moved => SampleEvent::Moved(target.clone(), token_count),
+            StreamEnd::Whole(_) => {
                 let spans = progress.partial.spans.iter();
-                SampleEvent::Whole(made, spans.map(|span| span.version.clone()).collect())
+                SampleEvent::Whole(
+                    token_count,
+                    spans.map(|span| span.version.clone()).collect(),
+                )
             }
         };
         state.journal.record(now, &self.running.id, event);
         let wanted = state.is_wanted(&self.running.id, self.running.generation);
         match end {
-            End::Whole(finish) if wanted => {
+            StreamEnd::Whole(finish) if wanted => {
                 let mut sample = progress.partial;
                 sample.finish = finish;
-                // The first whole answer wins.
+                // The first complete stream wins; the others of the sample are cancelled.
                 state.cancel(&self.running.id);
                 drop(state);
                 scores::finish(shared, self.running.generation, sample);
             }
-            End::Broken(_) | End::Exported(_) | End::Moved if wanted && !self.running.is_hedge => {
+            StreamEnd::Broken(_) | StreamEnd::Exported(_) | StreamEnd::Moved
+                if wanted && !self.running.is_hedge =>
+            {
                 let kv = match end {
-                    End::Exported(kv) => kv,
+                    StreamEnd::Exported(kv) => kv,
                     _ => None,
                 };
-                let covered = kv.as_ref().map_or(made, |kv| kv.tokens);
+                let covered = kv.as_ref().map_or(token_count, |kv| kv.tokens);
                 state.enqueue(Job {
                     generation: self.running.generation,
                     hedge: false,
-                    // A cache that covers other tokens than were received can't be continued.
-                    kv: kv.filter(|_| covered == made),
+                    // A cache that covers more or fewer tokens than were received can't be resumed.
+                    kv: kv.filter(|_| covered == token_count),
                     partial: progress.partial,
                     spec: self.running.spec.clone(),
-                    to: progress.move_to,
+                    preferred: progress.move_to,
                     avoid: Some(target),
                 });
             }
@@ -199,13 +216,13 @@
     }
 }
 
-/// Returns the sampling seed: the same for every attempt at a sample.
+/// Returns the sampling seed, which is the same for every attempt at a sample.
 fn seed(id: &SampleId) -> u64 {
     stable_hash(id.to_string().as_bytes())
 }
 
-/// Returns a copy of a sample's part for a second stream.
-pub(super) fn part_of(sample: &Sample) -> Sample {
+/// Returns a copy of a partial sample for a second stream.
+pub(super) fn copy_partial(sample: &Sample) -> Sample {
     let tokens: Tokens = sample.tokens.iter().collect();
     Sample {
         tokens,
@@ -213,13 +230,13 @@
     }
 }
 
-/// Names a stream on its engine.
+/// Returns the name of a stream on its engine.
 pub(super) fn request_name(id: &SampleId, attempt: u64, host: &str) -> String {
     let name = format!("{id}-{attempt}-{host}");
     name.replace(|c: char| !c.is_ascii_alphanumeric() && c != '-', "-")
 }
 
-/// Returns the target that a job is best not given to.
+/// Returns whether a job should avoid a target.
 pub(super) fn is_avoided(job: &Job, target: &TargetName) -> bool {
     job.avoid.as_ref() == Some(target)
 }
--- a/crates/godwitspool-entry/src/rollout/trainers.rs
+++ b/crates/godwitspool-entry/src/rollout/trainers.rs
@@ -1,11 +1,11 @@
-//! Trainers' requests.
+//! Trainers' HTTP requests.
 //!
 //! | call | answer |
 //! |---|---|
 //! | `POST /v1/trainers/T/steps/S/groups` | progress, once two hosts hold the groups |
 //! | `GET /v1/trainers/T/steps/S/batch?page=N&digest=D&wait_ms=M` | a page, or 202 with the progress |
 //! | `POST /v1/trainers/T/steps/S/ack` | the digest |
-//! | `POST /v1/trainers/T/steps/S/rewind` | the step and all after it are forgotten |
+//! | `POST /v1/trainers/T/steps/S/rewind` | the step and all later ones are dropped |
 //! | `GET /v1/trainers/T/steps/S/samples/GROUP/INDEX` | what happened to a sample on this host |
 
 use std::{
@@ -29,11 +29,11 @@
 const BEARER: &str = "Bearer ";
 const MAX_BODY_BYTES: u64 = 32 << 20;
 const MAX_WAIT: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(100);
-/// Longest time for which a request follows steps that move between hosts.
-const MOVE_BOUND: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest time for which a request is repeated while its steps move between hosts.
+const MOVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a trainer's path names.
+/// The parts of a trainer's path.
 #[derive(Debug)]
 struct Route<'a> {
     action: &'a str,
@@ -42,7 +42,7 @@
     trainer: TrainerName,
 }
 
-/// Answers a trainer's request. `rest` is the path behind `/v1/trainers/`.
+/// Serves a trainer's request. `rest` is the path after `/v1/trainers/`.
 pub(crate) fn handle(mut request: Request, rest: &str, shared: &Arc<Shared>) {
     match serve(&mut request, rest, shared) {
         Ok(answer) => respond(request, &answer),
@@ -50,7 +50,7 @@
     }
 }
 
-/// A status and a JSON body.
+/// An HTTP status and a JSON body.
 struct Reply {
     body: String,
     status: u16,
@@ -73,7 +73,7 @@
     let step = route.step;
     let wanted = match (request.method(), route.action) {
         (Method::Post, "groups") => {
-            let body: GroupsBody = read(request)?;
+            let body: GroupsBody = read_json(request)?;
             let total = body.total;
             StepRequest::Submit {
                 groups: body.groups(),
@@ -83,22 +83,20 @@
         }
         (Method::Get, "batch") => return fetch(&route, shared),
         (Method::Post, "ack") => StepRequest::Acknowledge {
-            digest: digest(&read::<AckBody>(request)?.digest)?,
+            digest: parse_digest(&read_json::<AckBody>(request)?.digest)?,
             step,
         },
         (Method::Post, "rewind") => StepRequest::Rewind {
-            number: read::<RewindBody>(request)?.number,
+            number: read_json::<RewindBody>(request)?.number,
             step,
         },
         (Method::Get, action) => return explain(action, &route, shared),
         _ => return Err(Refusal::UnknownPath),
     };
-    Ok(reply(&follow(shared, &route.trainer, &wanted)))
+    Ok(reply(&ask_with_retry(shared, &route.trainer, &wanted)))
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Requests
-
+/// Parses a path. A trainer may be named without its party where that is unambiguous.
 fn route<'a>(rest: &'a str, view: &View) -> Option<Route<'a>> {
     let (path, query) = rest.split_once('?').unwrap_or((rest, ""));
     let (trainer, path) = path.split_once("/steps/")?;
@@ -108,7 +106,7 @@
     let mut named =
         trainers.filter(|name| name.as_str() == trainer || name.as_str().ends_with(&suffix));
     let found = named.next()?.clone();
-    // A short name that two parties use names neither.
+    // A short name that two parties use is ambiguous and names neither.
     if named.next().is_some() && found.as_str() != trainer {
         return None;
     }
@@ -138,7 +136,7 @@
     };
     let mut is_known = false;
     for key in &workspace.keys {
-        // Every digest is compared, so the time tells nothing about which one matched.
+        // All digests are compared, so that the time taken doesn't reveal which one matched.
         is_known |= key.digest.matches(&digest) && !key.withdrawn;
     }
     if is_known && is_confirmed {
@@ -148,7 +146,7 @@
     }
 }
 
-fn read<T: DeserializeOwned>(request: &mut Request) -> Result<T, Refusal> {
+fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T, Refusal> {
     let bad = |message: String| Refusal::BadBody { message };
     let mut body = Vec::new();
     request
@@ -162,7 +160,7 @@
     serde_json::from_slice(&body).map_err(|error| bad(error.to_string()))
 }
 
-fn digest(text: &str) -> Result<Digest, Refusal> {
+fn parse_digest(text: &str) -> Result<Digest, Refusal> {
     let parsed = u64::from_str_radix(text, 16);
     parsed.map(Digest).map_err(|error| Refusal::BadBody {
         message: format!("digest \"{text}\": {error}"),
@@ -177,39 +175,38 @@
         .next()
 }
 
-// ---------------------------------------------------------------------------------------------------
-// Answers
-
-/// Fetches a page; waits for the batch to get whole, if the trainer asks for that.
+/// Fetches a page of a batch. If the trainer asks for it, this waits until the batch is complete.
 fn fetch(route: &Route<'_>, shared: &Arc<Shared>) -> Result<Reply, Refusal> {
     let number = |name| parameter(route.query, name).and_then(|text| text.parse::<u64>().ok());
     let wanted = StepRequest::Fetch {
-        digest: parameter(route.query, "digest").map(digest).transpose()?,
+        digest: parameter(route.query, "digest")
+            .map(parse_digest)
+            .transpose()?,
         page: number("page").unwrap_or(0) as u32,
         step: route.step,
     };
     let wait = Duration::from_millis(number("wait_ms").unwrap_or(0)).min(MAX_WAIT);
     let end = Instant::now() + wait;
     loop {
-        let answer = follow(shared, &route.trainer, &wanted);
+        let answer = ask_with_retry(shared, &route.trainer, &wanted);
         let left = end.saturating_duration_since(Instant::now());
         if !matches!(answer, Answer::Waiting(_)) || left.is_zero() || shared.draining() {
             return Ok(reply(&answer));
         }
-        shared.rollouts.wait(POLL.min(left));
+        shared.rollouts.wait(POLL_INTERVAL.min(left));
     }
 }
 
-/// Asks until the steps have stopped moving between hosts.
-fn follow(shared: &Arc<Shared>, trainer: &TrainerName, wanted: &StepRequest) -> Answer {
-    let end = Instant::now() + MOVE_BOUND;
+/// Repeats a request while the steps move between hosts.
+fn ask_with_retry(shared: &Arc<Shared>, trainer: &TrainerName, wanted: &StepRequest) -> Answer {
+    let end = Instant::now() + MOVE_TIMEOUT;
     loop {
         let answer = shared.rollouts.ask(shared, trainer, wanted.clone());
         let is_moving = matches!(answer, Answer::Refused(StepRefusal::Moving(_)));
         if !is_moving || Instant::now() >= end {
             return answer;
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -225,7 +222,7 @@
         group: parse(group)?,
         index: parse(index)?,
     };
-    Ok(Reply::new(200, &shared.rollouts.explain(&id)))
+    Ok(Reply::new(200, &shared.rollouts.sample_events(&id)))
 }
 
 fn reply(answer: &Answer) -> Reply {
@@ -243,7 +240,7 @@
 }
 
 fn refuse(refusal: &StepRefusal) -> Reply {
-    log::info!(reason = refusal.as_str(); "trainer refused");
+    log::info!(reason = refusal.as_str(); "trainer request refused");
     let status = match refusal {
         StepRefusal::Acknowledged(_) | StepRefusal::Conflict(_) | StepRefusal::WrongBatch(_) => 409,
         StepRefusal::Full { .. } => 429,
@@ -268,6 +265,6 @@
         response.add_header(answer::header("Retry-After", "1"));
     }
     if let Err(error) = request.respond(response) {
-        log::debug!("trainer left before its answer: {error}");
+        log::debug!("trainer disconnected before its answer was sent: {error}");
     }
 }
--- a/crates/godwitspool-entry/src/rollout/wire.rs
+++ b/crates/godwitspool-entry/src/rollout/wire.rs
@@ -1,4 +1,4 @@
-//! What trainers send and get, as JSON.
+//! JSON bodies of trainers' requests and answers.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Deserialize)]
 pub(super) struct GroupsBody {
     groups: Vec<GroupBody>,
-    /// Groups that the whole step has.
+    /// Number of groups in the whole step.
     pub(super) total: u32,
 }
 
@@ -33,7 +33,7 @@
     pub(super) number: u64,
 }
 
-/// Answer of `GET .../batch` once the batch is whole.
+/// Answer of `GET .../batch` once the batch is complete.
 #[derive(Debug, Serialize)]
 pub(super) struct PageBody<'a> {
     digest: String,
@@ -55,7 +55,7 @@
     tokens: Vec<&'a str>,
 }
 
-/// Answer while a step isn't whole.
+/// Answer while a step isn't complete.
 #[derive(Debug, Serialize)]
 pub(super) struct ProgressBody {
     state: &'static str,
