--- a/crates/godwitspool-entry/tests/bench/mod.rs
+++ b/crates/godwitspool-entry/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Entries in front of stand-in targets, with a view that the test decides.
+//! Entries in front of stand-in targets, with a view that the test controls.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a failed setup fails the test")]
@@ -30,25 +30,25 @@
 };
 use serde_json::Value;
 
-pub const BOUND: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const KEY: &str = "gsk-caller-key";
 const SEED: u64 = 3;
 
-pub struct Bench {
+pub struct Cluster {
     pub engines: Vec<Engine>,
     pub entries: Vec<Entry>,
     pub plains: Vec<PlainService>,
-    /// What the steward holds of usage.
+    /// Usage records that the stand-in steward holds.
     pub usage: Arc<Usage>,
     _steward: Server,
     view: Arc<Mutex<View>>,
 }
 
-/// Usage records that the steward was given.
+/// Usage records that the stand-in steward holds.
 #[derive(Default)]
 pub struct Usage {
     pub records: Mutex<Vec<UsageRecord>>,
-    /// Set while the steward holds nothing.
+    /// Set while the steward refuses records.
     pub refuses: AtomicBool,
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-impl Bench {
+impl Cluster {
     /// Starts entries, engines and plain services, and waits until every entry serves.
     pub fn start(entries: usize, engines: usize, plains: usize, step_ms: u64) -> Self {
         let engines = (0..engines).map(|index| {
@@ -120,7 +120,7 @@
         let entries: Vec<Entry> = (0..entries)
             .map(|index| Entry::start(settings(index)).unwrap())
             .collect();
-        let bench = Self {
+        let cluster = Self {
             engines: engines.collect(),
             entries,
             plains: plains.collect(),
@@ -128,15 +128,15 @@
             _steward: steward,
             view,
         };
-        bench.publish(|view| {
+        cluster.publish(|view| {
             view.configuration = Arc::new(configuration());
-            view.targets = bench.targets();
-            view.members = bench.members();
+            view.targets = cluster.targets();
+            view.members = cluster.members();
         });
-        bench
+        cluster
     }
 
-    /// Changes the view and waits until every entry follows it.
+    /// Changes the view and waits until every entry has applied it.
     pub fn publish(&self, change: impl FnOnce(&mut View)) {
         let offset = {
             let mut view = self.view.lock().unwrap();
@@ -149,7 +149,7 @@
             let path = format!("http://{}/status", entry.operator_address());
             wait_until(|| json(&path)["offset"] == offset.0);
         }
-        // The entry looks at a new view in steps of 20 ms.
+        // The entry polls for a new view every 20 ms.
         thread::sleep(Duration::from_millis(200));
     }
 
@@ -235,9 +235,7 @@
     .unwrap()
 }
 
-// ---------------------------------------------------------------------------
-
-/// What a caller got.
+/// An answer as the caller received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub body: String,
@@ -267,7 +265,7 @@
             .to_owned()
     }
 
-    /// Returns what the answer says of whether the request ran.
+    /// Returns whether the request ran, as the answer says.
     pub fn ran(&self) -> String {
         let line = self.body.trim().lines().last().unwrap_or_default();
         let line = line.strip_prefix("data: ").unwrap_or(line);
@@ -278,7 +276,8 @@
             .to_owned()
     }
 
-    pub fn assert_whole(&self, prompt: &str, most: u32) {
+    /// Checks that a generation has all tokens of its prompt once, and the terminator.
+    pub fn assert_whole(&self, prompt: &str, max_tokens: u32) {
         assert_eq!(self.status, 200, "{}", self.body);
         let events: Vec<_> = self
             .body
@@ -297,7 +296,7 @@
             role: "user".to_owned(),
         };
         let hash = prompt_hash(&[message], SEED);
-        let (count, _) = answer_tokens(hash, most);
+        let (count, _) = answer_tokens(hash, max_tokens);
         let expected: Vec<_> = (0..count).map(|index| token(hash, index)).collect();
         assert_eq!(tokens, expected);
     }
@@ -316,13 +315,13 @@
 }
 
 /// Returns a prompt whose answer has at least this many tokens.
-pub fn long_prompt(least: u32, most: u32) -> String {
+pub fn long_prompt(min_tokens: u32, max_tokens: u32) -> String {
     let long = |index: &u32| {
         let message = Message {
             content: format!("prompt {index}"),
             role: "user".to_owned(),
         };
-        answer_tokens(prompt_hash(&[message], SEED), most).0 >= least
+        answer_tokens(prompt_hash(&[message], SEED), max_tokens).0 >= min_tokens
     };
     format!("prompt {}", (0..10_000).find(long).unwrap())
 }
@@ -331,7 +330,7 @@
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .max_idle_connections(0)
-        .timeout_global(Some(2 * BOUND))
+        .timeout_global(Some(2 * TIMEOUT))
         .build();
     ureq::Agent::new_with_config(config)
 }
@@ -346,9 +345,9 @@
 }
 
 pub fn wait_until(condition: impl Fn() -> bool) {
-    let end = Instant::now() + BOUND;
+    let end = Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "condition not met within {BOUND:?}");
+        assert!(Instant::now() < end, "condition not met within {TIMEOUT:?}");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/godwitspool-entry/tests/ending.rs
+++ b/crates/godwitspool-entry/tests/ending.rs
@@ -1,4 +1,4 @@
-//! The end of an entry: whoever calls meanwhile is answered or finds the port closed.
+//! Shutdown of an entry: every call made meanwhile is answered or finds the port closed.
 
 use std::{
     net::SocketAddr,
@@ -15,16 +15,16 @@
 use ureq::{Agent, Error};
 
 const CALLERS: usize = 4;
-/// Far above the time that a refusal or a closed port takes.
-const HANGS: Duration = Duration::from_secs(5);
-const UNDER_WAY: Duration = Duration::from_millis(200);
+/// Far longer than a refusal or a closed port takes.
+const HANG_TIMEOUT: Duration = Duration::from_secs(5);
+const CALLING_TIME: Duration = Duration::from_millis(200);
 
-/// Calls again and again on new connections, and returns how many calls hung.
+/// Calls repeatedly on new connections, and returns how many calls hung.
 fn call(address: SocketAddr, stopped: &AtomicBool) -> usize {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .max_idle_connections(0)
-        .timeout_global(Some(HANGS))
+        .timeout_global(Some(HANG_TIMEOUT))
         .build();
     let agent = Agent::new_with_config(config);
     let url = format!("http://{address}/v1/chat/completions");
@@ -48,9 +48,9 @@
             thread::spawn(move || call(address, &stopped))
         })
         .collect();
-    thread::sleep(UNDER_WAY);
+    thread::sleep(CALLING_TIME);
     drop(entry);
-    thread::sleep(UNDER_WAY);
+    thread::sleep(CALLING_TIME);
     stopped.store(true, Ordering::Release);
     let hung: usize = callers
         .into_iter()
--- a/crates/godwitspool-entry/tests/rollouts.rs
+++ b/crates/godwitspool-entry/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Trainers' steps over real sockets, with what goes wrong around them.
+//! Trainers' steps over real sockets, also while hosts, engines and the log fail.
 
 #![expect(clippy::unwrap_used, reason = "a failed setup fails the test")]
 
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn samples_of_reclaimed_targets_go_on_elsewhere() {
+fn samples_of_reclaimed_targets_resume_on_other_targets() {
     let system = System::start(1, 3, "");
     system.submit(0, 1);
     let engines = system.platform.engines();
@@ -117,7 +117,7 @@
             ..entry
         })
         .collect();
-    let going: BTreeSet<_> = targets[..2]
+    let reclaimed: BTreeSet<_> = targets[..2]
         .iter()
         .map(|entry| entry.target.clone())
         .collect();
@@ -125,7 +125,7 @@
     thread::sleep(Duration::from_secs(1));
     for engine in engines
         .iter()
-        .filter(|engine| going.contains(engine.target()))
+        .filter(|engine| reclaimed.contains(engine.target()))
     {
         engine.crash();
     }
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn scores_come_with_the_samples_and_failures_are_said() {
+fn samples_carry_their_score_or_the_scoring_error() {
     let scorer = Scorer::start(SocketAddr::from(([127, 0, 0, 1], 0)), 1).unwrap();
     let system = System::start(1, 2, "party/score");
     let mut targets = system.platform.targets();
@@ -181,9 +181,9 @@
     for (step, version) in (1..).zip(["v2", "v3", "v4"]) {
         system.submit(0, step);
         configuration = system.publish_weights(&configuration, version);
-        let sound = &engines[2..];
+        let healthy = &engines[2..];
         wait(|| {
-            sound
+            healthy
                 .iter()
                 .all(|engine| engine.weights().as_str() == version)
         });
@@ -203,13 +203,13 @@
     });
 }
 
-/// Checks that engines made the tokens of each sample with the versions that it names.
+/// Checks that engines generated the tokens of each sample with the versions that its spans name.
 fn check_labels(step: u64, batch: &Value, engines: &[Arc<Engine>]) {
-    let mut made: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
+    let mut used_versions: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     for record in engines.iter().flat_map(|engine| engine.history()) {
         if let EngineEvent::Ended { prompt, spans, .. } = record.event {
             let versions = spans.iter().map(|span| span.version.to_string());
-            made.entry(prompt).or_default().extend(versions);
+            used_versions.entry(prompt).or_default().extend(versions);
         }
     }
     for sample in batch["samples"].as_array().unwrap() {
@@ -218,7 +218,7 @@
         for span in sample["spans"].as_array().unwrap() {
             let version = span["version"].as_str().unwrap();
             assert!(
-                made[&hash].contains(version),
+                used_versions[&hash].contains(version),
                 "{step}/{group}/{index}: {span}"
             );
         }
--- a/crates/godwitspool-entry/tests/trainer_system/mod.rs
+++ b/crates/godwitspool-entry/tests/trainer_system/mod.rs
@@ -1,4 +1,4 @@
-//! A platform, stewards, entries and engines in one process, with a trainer's calls.
+//! A stand-in platform, stewards, entries and engines in one process, and a trainer's calls.
 
 use std::{
     collections::BTreeMap,
@@ -25,7 +25,7 @@
 };
 use serde_json::{Value, json};
 
-pub const BOUND: Duration = Duration::from_secs(40);
+pub const TIMEOUT: Duration = Duration::from_secs(40);
 pub const GROUPS: u32 = 4;
 pub const KEY: &str = "trainer-key";
 pub const MAX_TOKENS: u32 = 40;
@@ -150,7 +150,7 @@
         next
     }
 
-    /// Ends a host at once; the platform's list says so a while later.
+    /// Stops a host at once. The platform's list of hosts follows after its lag.
     pub fn kill(&mut self, host: usize) {
         self.entries[host] = None;
         self.stewards[host] = None;
@@ -159,6 +159,7 @@
         self.platform.set_hosts(self.hosts.clone());
     }
 
+    /// Returns the address of the live entry number `at`, counted modulo their number.
     pub fn address(&self, at: usize) -> SocketAddr {
         let live: Vec<_> = self.entries.iter().flatten().collect();
         live[at % live.len()].address()
@@ -247,9 +248,9 @@
 
 #[track_caller]
 pub fn wait(mut is_done: impl FnMut() -> bool) {
-    let end = Instant::now() + BOUND;
+    let end = Instant::now() + TIMEOUT;
     while !is_done() {
-        assert!(Instant::now() < end, "not within {BOUND:?}");
+        assert!(Instant::now() < end, "condition not met within {TIMEOUT:?}");
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -258,7 +259,7 @@
     format!("step {step}, group {group}")
 }
 
-/// Checks that a batch has every sample once, whole, and named by the version that made it.
+/// Checks that a batch has every sample once and complete, with spans that cover its tokens.
 pub fn check(step: u64, batch: &Value) {
     assert_eq!(batch["pages"], 1, "{batch}");
     let samples = batch["samples"].as_array().unwrap();
@@ -274,19 +275,19 @@
         let (count, finish) = answer_tokens(hash, MAX_TOKENS);
         let tokens: Vec<_> = (0..count).map(|index| token(hash, index)).collect();
         assert_eq!(sample["tokens"], json!(tokens), "{group}/{index}");
-        let named = if finish == Finish::Length {
+        let expected_finish = if finish == Finish::Length {
             "length"
         } else {
             "stop"
         };
-        assert_eq!(sample["finish"], named);
+        assert_eq!(sample["finish"], expected_finish);
         let spans = sample["spans"].as_array().unwrap();
         let covered: u32 = spans.iter().map(|span| number(span, "tokens")).sum();
         assert_eq!(covered, count);
     }
 }
 
-/// Returns the hash by which engines know a sample's prompt and seed.
+/// Returns the engines' hash of a sample's prompt and seed.
 pub fn hash_of(step: u64, group: u32, index: u32) -> u64 {
     let id = format!("party/motifs/{step}/{group}/{index}");
     let seed = rapidhash::v3::rapidhash_v3(id.as_bytes());
