--- a/crates/godwitspool-entry/src/process/serving.rs
+++ b/crates/godwitspool-entry/src/process/serving.rs
@@ -79,8 +79,7 @@
         self.record_step(id, step);
     }
 
-    /// Takes over the members of a view, without those that are leaving, and returns the previous
-    /// ones.
+    /// Replaces the members with those of a view that aren't leaving. Returns the previous members.
     pub(crate) fn update_members(&self, view: &View, own: &HostName) -> Arc<Vec<HostName>> {
         let staying = view.members.iter().filter(|member| !member.leaving);
         let mut names: Vec<HostName> = staying.map(|member| member.host.clone()).collect();
--- a/crates/godwitspool-entry/src/request/authorize.rs
+++ b/crates/godwitspool-entry/src/request/authorize.rs
@@ -37,7 +37,7 @@
 }
 
 impl Keys {
-    /// Takes over the keys of a view.
+    /// Replaces the keys with those of a view.
     pub(crate) fn update(&self, view: &View, now: Millis) {
         let table = Arc::new(KeyTable::from(&*view.configuration));
         let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
@@ -48,7 +48,7 @@
         };
     }
 
-    /// Takes over the age of a configuration that hasn't changed.
+    /// Updates the time of confirmation from the age of an unchanged configuration.
     pub(crate) fn confirm(&self, age: Millis, now: Millis) {
         let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
         state.confirmed = state.confirmed.max(now - age);
@@ -68,7 +68,7 @@
         state.table.check(digest, service, now - state.confirmed)
     }
 
-    /// Registers an open request. The guard says whether its key has been withdrawn.
+    /// Registers an open request. Its guard shows when the key is withdrawn.
     pub(crate) fn open(self: &Arc<Self>, id: RequestId, digest: Option<KeyDigest>) -> OpenGuard {
         let withdrawn = Arc::new(AtomicBool::new(false));
         if let Some(digest) = digest {
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -99,7 +99,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes over the targets of a view.
+    /// Updates the targets from a view.
     pub(crate) fn update_targets(&self, view: &View) {
         let mut state = self.lock();
         let hosts = view.members.iter().filter(|member| !member.leaving);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes over load reports of targets.
+    /// Updates the targets' loads and weights from reports.
     pub(crate) fn report(&self, loads: &[TargetLoad]) {
         let mut state = self.lock();
         for load in loads {
--- a/crates/godwitspool-entry/src/request/idempotency.rs
+++ b/crates/godwitspool-entry/src/request/idempotency.rs
@@ -184,7 +184,7 @@
         .settle(&key_from_wire(key), fate_from_wire(fate));
 }
 
-/// Takes over items from another home host.
+/// Accepts items that another home host hands over.
 pub(crate) fn accept_items(shared: &Arc<Shared>, items: Vec<KeyItem>) {
     let now = shared.serving.now();
     let mut home = shared.serving.idempotency.lock();
@@ -193,7 +193,7 @@
     }
 }
 
-/// Takes over the members of a new view, and hands over the keys whose home has moved.
+/// Replaces the members, and hands over the keys whose home has moved.
 pub(crate) fn update_members(shared: &Arc<Shared>, members: Vec<HostName>, lost: &[HostName]) {
     let now = shared.serving.now();
     let own = &shared.settings.host;
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -117,7 +117,7 @@
 
 /// Splits the service's name from the path behind it.
 ///
-/// A workspace's own names have no slash. An open route has no workspace, so it goes by its
+/// A workspace's own names have no slash. An open route has no workspace, so it is called by its
 /// qualified name, which has one.
 fn split_alias<'a>(rest: &'a str, open_routes: &BTreeSet<ServiceName>) -> (&'a str, &'a str) {
     let ends = |at: usize| rest[at..].is_empty() || rest[at..].starts_with(['/', '?']);
--- a/crates/godwitspool-entry/src/rollout/dispatch.rs
+++ b/crates/godwitspool-entry/src/rollout/dispatch.rs
@@ -73,7 +73,7 @@
 }
 
 impl State {
-    /// Returns whether the steps still want a sample, under this generation.
+    /// Returns whether a sample of this generation is still to be generated.
     pub(super) fn is_wanted(&self, id: &SampleId, generation: u64) -> bool {
         let trainer = self.trainers.get(&id.trainer);
         trainer.is_some_and(|trainer| trainer.steps.generation(id) == Some(generation))
--- a/crates/godwitspool-entry/src/rollout/portions.rs
+++ b/crates/godwitspool-entry/src/rollout/portions.rs
@@ -20,7 +20,7 @@
 }
 
 impl Portions {
-    /// Takes over a load report of a target.
+    /// Stores a load report of a target.
     pub(super) fn report(&mut self, load: &TargetLoad, now: Millis) {
         self.loads.insert(load.target.clone(), (load.clone(), now));
     }
@@ -30,7 +30,7 @@
         self.loads.get(target).map(|(load, _)| &load.weights)
     }
 
-    /// Takes over another host's report.
+    /// Stores another host's report.
     pub(super) fn update(&mut self, portion: Portion, now: Millis) {
         self.hosts.insert(portion.host.clone(), (portion, now));
     }
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -193,7 +193,7 @@
         state.trainers.retain(|name, _| known.contains_key(name));
     }
 
-    /// Takes over load reports of engines.
+    /// Stores load reports of engines.
     pub(crate) fn report(&self, loads: &[TargetLoad]) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Takes over another host's report of its part of the training.
+    /// Stores another host's report of its training.
     pub(crate) fn update_portion(&self, portion: Portion) {
         let now = self.clock.now();
         self.lock().portions.update(portion, now);
--- a/crates/godwitspool-entry/src/rollout/stream.rs
+++ b/crates/godwitspool-entry/src/rollout/stream.rs
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Takes over a chunk. Returns how the stream ended if this was the last chunk or an invalid
-    /// one.
+    /// Appends a chunk to the sample. Returns how the stream ended if this chunk is the last one or
+    /// out of order.
     fn handle_chunk(&self, chunk: &Chunk, shared: &Arc<Shared>) -> Option<StreamEnd> {
         let choice = chunk.choices.first()?;
         let now = shared.rollouts.clock.now();
--- a/crates/godwitspool-entry/src/rollout/trainers.rs
+++ b/crates/godwitspool-entry/src/rollout/trainers.rs
@@ -71,7 +71,7 @@
     let route = route(rest, &view).ok_or(Refusal::UnknownPath)?;
     check_key(request, &route.trainer, &view)?;
     let step = route.step;
-    let wanted = match (request.method(), route.action) {
+    let step_request = match (request.method(), route.action) {
         (Method::Post, "groups") => {
             let body: GroupsBody = read_json(request)?;
             let total = body.total;
@@ -93,7 +93,11 @@
         (Method::Get, action) => return explain(action, &route, shared),
         _ => return Err(Refusal::UnknownPath),
     };
-    Ok(reply(&ask_with_retry(shared, &route.trainer, &wanted)))
+    Ok(reply(&ask_with_retry(
+        shared,
+        &route.trainer,
+        &step_request,
+    )))
 }
 
 /// Parses a path. A trainer may be named without its party where that is unambiguous.
@@ -178,7 +182,7 @@
 /// Fetches a page of a batch. If the trainer asks for it, this waits until the batch is complete.
 fn fetch(route: &Route<'_>, shared: &Arc<Shared>) -> Result<Reply, Refusal> {
     let number = |name| parameter(route.query, name).and_then(|text| text.parse::<u64>().ok());
-    let wanted = StepRequest::Fetch {
+    let step_request = StepRequest::Fetch {
         digest: parameter(route.query, "digest")
             .map(parse_digest)
             .transpose()?,
@@ -188,7 +192,7 @@
     let wait = Duration::from_millis(number("wait_ms").unwrap_or(0)).min(MAX_WAIT);
     let end = Instant::now() + wait;
     loop {
-        let answer = ask_with_retry(shared, &route.trainer, &wanted);
+        let answer = ask_with_retry(shared, &route.trainer, &step_request);
         let left = end.saturating_duration_since(Instant::now());
         if !matches!(answer, Answer::Waiting(_)) || left.is_zero() || shared.draining() {
             return Ok(reply(&answer));
@@ -198,10 +202,14 @@
 }
 
 /// Repeats a request while the steps move between hosts.
-fn ask_with_retry(shared: &Arc<Shared>, trainer: &TrainerName, wanted: &StepRequest) -> Answer {
+fn ask_with_retry(
+    shared: &Arc<Shared>,
+    trainer: &TrainerName,
+    step_request: &StepRequest,
+) -> Answer {
     let end = Instant::now() + MOVE_TIMEOUT;
     loop {
-        let answer = shared.rollouts.ask(shared, trainer, wanted.clone());
+        let answer = shared.rollouts.ask(shared, trainer, step_request.clone());
         let is_moving = matches!(answer, Answer::Refused(StepRefusal::Moving(_)));
         if !is_moving || Instant::now() >= end {
             return answer;
