--- a/crates/godwitspool-entry/src/request/admitted.rs
+++ b/crates/godwitspool-entry/src/request/admitted.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, thread, time::Duration};
 
 use godwitspool_connection::CallError;
-use godwitspool_request::{Health, Reason, Refusal, RetryReason, Verdict};
+use godwitspool_request::{AttemptOutcome, Reason, Refusal, RetryDecision, RetryReason};
 use godwitspool_types::Millis;
 
 use crate::{
@@ -25,7 +25,7 @@
 pub(crate) struct FailedAttempt {
     pub(crate) retry_delay: Option<Millis>,
     pub(crate) cause: String,
-    pub(crate) health: Option<Health>,
+    pub(crate) health: Option<AttemptOutcome>,
     pub(crate) reason: RetryReason,
 }
 
@@ -39,14 +39,18 @@
             RetryReason::TargetLost
         };
         let (reason, health) = match error {
-            CallError::NotSent { .. } => (RetryReason::ConnectFailed, Some(Health::Unreachable)),
+            CallError::NotSent { .. } => (
+                RetryReason::ConnectFailed,
+                Some(AttemptOutcome::Unreachable),
+            ),
             CallError::Status {
                 status: 429 | 503, ..
             } => (RetryReason::TargetRefused, None),
-            CallError::Silent { .. } if !streaming => {
-                (RetryReason::TargetSilent, Some(Health::Failed(caller)))
-            }
-            _ => (lost, Some(Health::Failed(caller))),
+            CallError::Silent { .. } if !streaming => (
+                RetryReason::TargetSilent,
+                Some(AttemptOutcome::Failed(caller)),
+            ),
+            _ => (lost, Some(AttemptOutcome::Failed(caller))),
         };
         let retry_delay = match error {
             CallError::Status { retry_after, .. } => retry_after.map(|s| Millis(s * 1_000)),
@@ -112,7 +116,7 @@
     pub(crate) fn answered(&mut self) {
         let now = self.shared.serving.now();
         let dispatch = &self.shared.serving.dispatch;
-        dispatch.record(&self.work, &self.assignment, Health::Answered, now);
+        dispatch.record(&self.work, &self.assignment, AttemptOutcome::Answered, now);
         if std::mem::take(&mut self.on_trial) {
             suspicion::end_trial(&self.shared, self.work.need.fingerprint, true);
         }
@@ -142,8 +146,8 @@
             self.shared.serving.now(),
         );
         match verdict {
-            Verdict::Refuse(refusal) => Err(refusal),
-            Verdict::Retry(pause) => {
+            RetryDecision::Refuse(refusal) => Err(refusal),
+            RetryDecision::Retry(pause) => {
                 thread::sleep(pause.duration());
                 self.retry_on_other_target(failed.reason)
             }
@@ -176,7 +180,7 @@
     fn retry_on_other_target(&mut self, reason: RetryReason) -> Result<(), Refusal> {
         self.work.need.tried.push(self.assignment.id);
         let refused = |refusal: Refusal| Refusal {
-            ran: if self.work.attempts.touched {
+            ran: if self.work.attempts.maybe_ran {
                 godwitspool_types::Ran::Unknown
             } else {
                 refusal.ran
--- a/crates/godwitspool-entry/src/request/authorize.rs
+++ b/crates/godwitspool-entry/src/request/authorize.rs
@@ -90,7 +90,7 @@
         let state = self.state();
         let open = self.open_requests();
         let requests: Vec<_> = open.iter().map(|(&id, open)| (id, open.digest)).collect();
-        for id in state.table.cut(&requests, now - state.confirmed) {
+        for id in state.table.unauthorized(&requests, now - state.confirmed) {
             if let Some(open) = open.get(&id) {
                 open.withdrawn.store(true, Ordering::Release);
             }
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -7,7 +7,9 @@
     CallError, TargetClient,
     engine::{Chunk, Finish, Generate},
 };
-use godwitspool_request::{Piece, Reason, Refusal as PolicyRefusal, Stitch, Stitched};
+use godwitspool_request::{
+    AnswerAssembler, Reason, Refusal as PolicyRefusal, StreamToken, TokenOutcome,
+};
 use godwitspool_types::{Millis, Ran, RequestId};
 use tiny_http::Request;
 
@@ -39,7 +41,7 @@
             open: prepared.open,
             shared: Arc::clone(shared),
             time_limit: prepared.time_limit,
-            assembler: Stitch::default(),
+            assembler: AnswerAssembler::default(),
             admitted,
         };
         let end = generation.run();
@@ -148,7 +150,7 @@
     shared: Arc<Shared>,
     /// Time for the whole request, counted anew when an attempt fails after tokens have arrived.
     time_limit: Millis,
-    assembler: Stitch,
+    assembler: AnswerAssembler,
     admitted: AdmittedRequest,
 }
 
@@ -247,7 +249,7 @@
         let client = self.client();
         let mut stream = client.generate(
             &self.generate,
-            idle_timeouts.first.bound().min(first_timeout),
+            idle_timeouts.first.current().min(first_timeout),
         )?;
         let mut first = true;
         loop {
@@ -259,13 +261,13 @@
                 idle_timeouts.next.observe(now - last_chunk_at);
             }
             last_chunk_at = now;
-            stream.set_idle(idle_timeouts.next.bound());
+            stream.set_idle(idle_timeouts.next.current());
             if self.open.is_withdrawn() {
                 return Ok(AttemptEnd::KeyWithdrawn);
             }
             let Some(chunk) = chunk else {
                 self.assembler.terminate(attempt);
-                return if self.assembler.is_whole() {
+                return if self.assembler.is_complete() {
                     Ok(AttemptEnd::Complete)
                 } else {
                     Err(CallError::Truncated)
@@ -284,21 +286,21 @@
         };
         let last = matches!(choice.finish_reason, Some(Finish::Length | Finish::Stop));
         let ended_early = choice.finish_reason.is_some() && !last;
-        let piece = Piece {
+        let token = StreamToken {
             attempt,
             index: choice.index,
             last,
             text: choice.delta.content.clone(),
         };
-        let outcome = self.assembler.push(&piece);
-        if outcome == Stitched::Gap {
+        let outcome = self.assembler.push(&token);
+        if outcome == TokenOutcome::Gap {
             let cause = format!("token {} is missing", self.assembler.tokens().len());
             return Err(CallError::Protocol { cause });
         }
         if ended_early {
             return Err(CallError::Truncated);
         }
-        if outcome == Stitched::Next || last {
+        if outcome == TokenOutcome::Next || last {
             chunk.id = self.admitted.work.id.to_string();
             if self.responder.send(&chunk).is_err() {
                 return Ok(Some(AttemptEnd::CallerLeft));
--- a/crates/godwitspool-entry/src/request/idempotency.rs
+++ b/crates/godwitspool-entry/src/request/idempotency.rs
@@ -6,7 +6,7 @@
     ClaimReply, KeyFate, KeyItem, KeyName, ServingAnswer, ServingRequest,
 };
 use godwitspool_request::{
-    ClaimAnswer, Fate, Handed, IdempotencyKey, KeyHome, KeyLoss, KeyRecord, Reason,
+    ClaimAnswer, Fate, HandoverItem, IdempotencyKey, KeyHome, KeyLoss, KeyRecord, Reason,
 };
 use godwitspool_types::{HostName, Millis, Workspace};
 
@@ -216,7 +216,7 @@
     send_items(shared, handovers);
 }
 
-fn send_items(shared: &Arc<Shared>, handovers: Vec<(HostName, Handed)>) {
+fn send_items(shared: &Arc<Shared>, handovers: Vec<(HostName, HandoverItem)>) {
     for (home, item) in handovers {
         let request = ServingRequest::HandOver(vec![item_to_wire(item)]);
         if serving::call(shared, &home, request).is_none() {
@@ -257,47 +257,47 @@
     }
 }
 
-fn item_from_wire(item: KeyItem) -> Handed {
+fn item_from_wire(item: KeyItem) -> HandoverItem {
     match item {
         KeyItem::Loss {
             before,
             gone,
             left_ms,
-        } => Handed::Loss(KeyLoss {
+        } => HandoverItem::Loss(KeyLoss {
             before,
             gone: gone.into_iter().collect(),
-            left: Millis(left_ms),
+            remaining: Millis(left_ms),
         }),
         KeyItem::Record {
             fate,
             key,
             left_ms,
             print: fingerprint,
-        } => Handed::Record(KeyRecord {
+        } => HandoverItem::Record(KeyRecord {
             fate: fate_from_wire(fate),
             key: key_from_wire(key),
-            left: Millis(left_ms),
-            print: fingerprint,
+            remaining: Millis(left_ms),
+            fingerprint,
         }),
     }
 }
 
-fn item_to_wire(handover: Handed) -> KeyItem {
+fn item_to_wire(handover: HandoverItem) -> KeyItem {
     match handover {
-        Handed::Loss(loss) => KeyItem::Loss {
+        HandoverItem::Loss(loss) => KeyItem::Loss {
             before: loss.before,
             gone: loss.gone.into_iter().collect(),
-            left_ms: loss.left.0,
+            left_ms: loss.remaining.0,
         },
-        Handed::Record(record) => KeyItem::Record {
+        HandoverItem::Record(record) => KeyItem::Record {
             fate: match record.fate {
                 Fate::Done(bytes) => KeyFate::Done(bytes),
                 Fate::Running(host) => KeyFate::Running(host),
                 Fate::Unknown => KeyFate::Unknown,
             },
             key: key_to_wire(&record.key),
-            left_ms: record.left.0,
-            print: record.print,
+            left_ms: record.remaining.0,
+            print: record.fingerprint,
         },
     }
 }
--- a/crates/godwitspool-entry/src/request/peers.rs
+++ b/crates/godwitspool-entry/src/request/peers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use godwitspool_connection::messages::{ServingAnswer, ServingRequest};
-use godwitspool_request::{SuspectEvent, Want};
+use godwitspool_request::{LimitDemand, SuspectEvent};
 
 use crate::{
     process::shared::Shared,
@@ -25,8 +25,8 @@
             running,
             workspace,
         } => {
-            let want = Want { arrived, running };
-            ServingAnswer::Grant(quota::answer(shared, &workspace, &host, want))
+            let demand = LimitDemand { arrived, running };
+            ServingAnswer::Grant(quota::answer(shared, &workspace, &host, demand))
         }
         ServingRequest::Probe => ServingAnswer::Here,
         notice => {
@@ -46,7 +46,13 @@
             target,
         } => suspicion::handle_event(shared, suspicion::blamed(part, print, target)),
         ServingRequest::EndTrial { answered, print } => {
-            suspicion::handle_event(shared, SuspectEvent::Over { answered, print });
+            suspicion::handle_event(
+                shared,
+                SuspectEvent::TrialEnded {
+                    answered,
+                    fingerprint: print,
+                },
+            );
         }
         ServingRequest::HandOver(items) => idempotency::accept_items(shared, items),
         ServingRequest::Lift(print) => suspicion::handle_event(shared, SuspectEvent::Lift(print)),
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -188,7 +188,7 @@
     let client = shared.client(admitted.assignment.address);
     let outcome = client.call(
         &prepared.call,
-        idle_timeouts.first.bound().min(first_timeout),
+        idle_timeouts.first.current().min(first_timeout),
     );
     match &outcome {
         Ok(_) => {
--- a/crates/godwitspool-entry/src/request/quota.rs
+++ b/crates/godwitspool-entry/src/request/quota.rs
@@ -6,7 +6,9 @@
 };
 
 use godwitspool_connection::messages::{LimitPart, ServingAnswer, ServingRequest};
-use godwitspool_request::{Grant, LimitHome, Limits, Refusal, Usage, Want, stable_hash};
+use godwitspool_request::{
+    Grant, LimitDemand, LimitHome, LimitUsage, Limits, Refusal, stable_hash,
+};
 use godwitspool_types::{HostName, Millis, Workspace};
 
 use crate::process::{serving, shared::Shared};
@@ -18,7 +20,7 @@
 struct State {
     asked_at: HashMap<Workspace, Millis>,
     homes: HashMap<Workspace, LimitHome>,
-    usages: HashMap<Workspace, Usage>,
+    usages: HashMap<Workspace, LimitUsage>,
 }
 
 /// Usage of the limits on this host, and the limits whose home is this host.
@@ -82,7 +84,7 @@
     shared: &Arc<Shared>,
     workspace: &Workspace,
     host: &HostName,
-    demand: Want,
+    demand: LimitDemand,
 ) -> Option<LimitPart> {
     let limits = limits(shared, workspace);
     let now = shared.serving.now();
@@ -152,9 +154,9 @@
     }
 
     /// Returns this host's demand, and records that the home host is asked now.
-    fn demand(&self, workspace: &Workspace, now: Millis) -> Option<Want> {
+    fn demand(&self, workspace: &Workspace, now: Millis) -> Option<LimitDemand> {
         let mut state = self.lock();
         state.asked_at.insert(workspace.clone(), now);
-        state.usages.get_mut(workspace).map(Usage::report)
+        state.usages.get_mut(workspace).map(LimitUsage::report)
     }
 }
--- a/crates/godwitspool-entry/src/request/suspicion.rs
+++ b/crates/godwitspool-entry/src/request/suspicion.rs
@@ -9,8 +9,8 @@
 
 use godwitspool_connection::messages::{ServingAnswer, ServingRequest, SuspectRecord, TrialReply};
 use godwitspool_request::{
-    Blame, Reason, Record, Refusal, Standing, SuspectAction, SuspectEvent, SuspectList, Suspects,
-    TargetId, share_blame,
+    Blame, CrashRecord, Reason, Refusal, SuspectAction, SuspectEvent, SuspectList, SuspectStatus,
+    Suspects, TargetId, split_blame,
 };
 use godwitspool_types::{HostName, Millis, TargetName};
 
@@ -90,21 +90,21 @@
 /// unreachable.
 pub(crate) fn request_trial(shared: &Arc<Shared>, fingerprint: u64) -> Result<bool, Refusal> {
     let now = shared.serving.now();
-    let standing = shared
+    let status = shared
         .serving
         .suspicion
         .lock()
         .list
-        .standing(fingerprint, now);
-    let standing = if shared.view().quarantined.contains(&fingerprint) {
-        Standing::Quarantined
+        .status(fingerprint, now);
+    let status = if shared.view().quarantined.contains(&fingerprint) {
+        SuspectStatus::Quarantined
     } else {
-        standing
+        status
     };
-    match standing {
-        Standing::Clear => return Ok(false),
-        Standing::Quarantined => return Err(Reason::Quarantined.into()),
-        Standing::Suspect => {}
+    match status {
+        SuspectStatus::Clear => return Ok(false),
+        SuspectStatus::Quarantined => return Err(Reason::Quarantined.into()),
+        SuspectStatus::Suspect => {}
     }
     let record = shared.serving.suspicion.lock().list.record(fingerprint);
     let request = ServingRequest::AskTrial {
@@ -137,21 +137,23 @@
         CrashReport::InTrial(fingerprint) => Some(fingerprint),
         CrashReport::New => None,
     };
-    for blame in share_blame(target, in_flight, trial) {
+    for blame in split_blame(target, in_flight, trial) {
         let request = ServingRequest::Blame {
             part: blame.part,
-            print: blame.print,
+            print: blame.fingerprint,
             target: blame.target.clone(),
         };
-        let home = shared.serving.home(shared, blame.print);
+        let home = shared.serving.home(shared, blame.fingerprint);
         if serving::call(shared, &home, request).is_none() {
             log::warn!(home:%; "cannot report a crash to the home host of a suspect");
         }
         // The next attempt on this host must find the suspicion before the announcement arrives.
         let now = shared.serving.now();
         let mut state = shared.serving.suspicion.lock();
-        if state.list.standing(blame.print, now) == Standing::Clear {
-            state.list.announce(blame.print, Record::default(), now);
+        if state.list.status(blame.fingerprint, now) == SuspectStatus::Clear {
+            state
+                .list
+                .announce(blame.fingerprint, CrashRecord::default(), now);
         }
     }
 }
@@ -191,10 +193,10 @@
     let now = shared.serving.now();
     let fingerprint = known.print;
     let known = from_wire(known, now);
-    let event = SuspectEvent::Ask {
+    let event = SuspectEvent::TrialRequested {
         host,
         known,
-        print: fingerprint,
+        fingerprint,
     };
     let actions = shared.serving.suspicion.lock().suspects.decide(event, now);
     match actions.first() {
@@ -240,7 +242,7 @@
 pub(crate) fn blamed(part: u32, fingerprint: u64, target: TargetName) -> SuspectEvent {
     SuspectEvent::Blamed(Blame {
         part,
-        print: fingerprint,
+        fingerprint,
         target,
     })
 }
@@ -266,7 +268,7 @@
     }
 }
 
-fn to_wire(fingerprint: u64, record: &Record, now: Millis) -> SuspectRecord {
+fn to_wire(fingerprint: u64, record: &CrashRecord, now: Millis) -> SuspectRecord {
     SuspectRecord {
         blame: record.blame,
         crashed: record.crashed.iter().cloned().collect(),
@@ -276,8 +278,8 @@
     }
 }
 
-fn from_wire(record: SuspectRecord, now: Millis) -> Record {
-    Record {
+fn from_wire(record: SuspectRecord, now: Millis) -> CrashRecord {
+    CrashRecord {
         blame: record.blame,
         crashed: record.crashed.into_iter().collect(),
         crashes: record.crashes,
--- a/crates/godwitspool-entry/src/rollout/dispatch.rs
+++ b/crates/godwitspool-entry/src/rollout/dispatch.rs
@@ -12,7 +12,7 @@
     platform::{TargetEntry, TargetState as Platform},
 };
 use godwitspool_request::{TrainingShare, stable_hash};
-use godwitspool_rollout::{Freshness, SampleId, ScoreEvent, ShareRules};
+use godwitspool_rollout::{Freshness, SampleId, ScoreEvent, TrainerDemand};
 use godwitspool_types::{HostName, Millis, ServiceName, TargetName, TrainerName};
 
 use super::{
@@ -205,13 +205,13 @@
             if trainer.queue.is_empty() {
                 trainer.queued_since = now;
             }
-            let rules = ShareRules {
+            let demand = TrainerDemand {
                 share: trainer.rules.share,
                 deadline: Some(trainer.queued_since + Millis(trainer.rules.step_ms)),
-                rest: Millis::ZERO,
+                remaining: Millis::ZERO,
                 waiting: trainer.queue.len() as u32,
             };
-            self.shares.set(name.clone(), rules);
+            self.shares.set(name.clone(), demand);
         }
         for name in self.trainers.keys() {
             if !view.configuration.trainers.contains_key(name) {
--- a/crates/godwitspool-entry/src/rollout/moves.rs
+++ b/crates/godwitspool-entry/src/rollout/moves.rs
@@ -183,17 +183,17 @@
     fn reclaimed_stream(&self, running: &RunningStream) -> ReclaimedStream {
         let tokens = running.progress().partial.tokens.len() as u32;
         let trainer = self.trainers.get(&running.id.trainer);
-        let rest = trainer.map_or(0.0, |trainer| {
+        let remaining = trainer.map_or(0.0, |trainer| {
             let token_limit = running.spec.max_tokens;
             trainer
                 .stragglers
-                .expected_rest(&running.id, tokens, token_limit)
+                .expected_remaining(&running.id, tokens, token_limit)
         });
         let pace = self.targets.get(&running.target);
         let token_ms = pace.map_or(INITIAL_TOKEN_MS, |known| known.token_ms);
         ReclaimedStream {
             id: running.id.clone(),
-            rest_ms: Millis((rest * token_ms) as u64),
+            remaining_ms: Millis((remaining * token_ms) as u64),
             tokens,
         }
     }
@@ -206,13 +206,13 @@
     }
     Some(Attempt {
         id: running.id.clone(),
-        heard: progress.last_token_at,
+        last_token_at: progress.last_token_at,
         max_tokens: running.spec.max_tokens,
-        prompt: (running.spec.bytes() / 4) as u32,
-        started: running.started_at,
+        prompt_tokens: (running.spec.bytes() / 4) as u32,
+        started_at: running.started_at,
         target: running.target.clone(),
         tokens: progress.partial.tokens.len() as u32,
-        resumed: progress.resumed_tokens,
+        resumed_tokens: progress.resumed_tokens,
         hedge: progress.hedge.clone(),
     })
 }
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -16,8 +16,8 @@
 use godwitspool_process::Clock;
 use godwitspool_request::{Caller, TrainingShare};
 use godwitspool_rollout::{
-    Answer, HandedOver, Refusal, Request, Sample, SampleId, Scoring, Shares, StepAction, StepEvent,
-    StepNumber, StepRules, StragglerRules, Stragglers, TrainerSteps,
+    AcknowledgedBatch, Answer, Refusal, Request, Sample, SampleId, Scoring, Shares, StepAction,
+    StepEvent, StepNumber, StepRules, StragglerRules, Stragglers, TrainerSteps,
 };
 use godwitspool_types::{
     HostName, Millis, RequestId, ServiceName, TargetName, TrainerName, WeightVersion,
@@ -254,7 +254,7 @@
                 queued_since: now,
                 steps: TrainerSteps::new(name.clone(), host, StepRules::default()),
                 stragglers: Stragglers::new(StragglerRules {
-                    silent_ms: HEDGE_IDLE_TIMEOUT,
+                    idle_timeout_ms: HEDGE_IDLE_TIMEOUT,
                     ..StragglerRules::default()
                 }),
             }
@@ -315,7 +315,7 @@
 
     /// Bills an acknowledged batch to the trainer's workspace. This doesn't wait for a steward to
     /// hold the usage record.
-    fn bill_batch(&self, shared: &Shared, trainer: &TrainerName, batch: HandedOver) {
+    fn bill_batch(&self, shared: &Shared, trainer: &TrainerName, batch: AcknowledgedBatch) {
         let Some(trainer_state) = self.trainers.get(trainer) else {
             return;
         };
--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -4,36 +4,34 @@
 
 use super::{Batch, Move, Pace, RunFailure, RunView, Submission, Verdict, decide_move};
 use crate::{
-    dialect::Passing,
+    dialect::ForwardContext,
     http::{CallError, Connection, Exchange, Progress, wait},
     process::Shared,
     version::{Configuration, Outcome},
 };
 
-/// A run whose target sends nothing for so long goes on elsewhere. Loads of weights stop a target
-/// for about a second, longer while several load.
-const EVENT_STALL: Millis = Millis(3_000);
-/// A run whose target hasn't begun to answer for so long is tried elsewhere: the time in which a
-/// full queue of a target empties.
-const HEAD_STALL: Millis = Millis(4_000);
-/// A target that doesn't take a connection for so long is taken as gone: several round trips
-/// between data centres.
-const CONNECT_STALL: Millis = Millis(300);
-/// Another target counts as faster below this multiple of the usual time between events.
-const FASTER_FACTOR: f64 = 1.5;
-/// Time between looks at stalled runs, and at items that found no target.
-const LOOK: Millis = Millis(100);
+/// Idle timeout of a run that has begun to answer. A target stops sending for about a second while
+/// it loads weights, and for longer while several targets load.
+const EVENT_TIMEOUT: Millis = Millis(3_000);
+/// Timeout for the beginning of the answer: the time within which a target works off a full queue.
+const HEAD_TIMEOUT: Millis = Millis(4_000);
+/// Timeout for connecting to a target: several round trips between data centres.
+const CONNECT_TIMEOUT: Millis = Millis(300);
+/// A run moves only to a target whose interval between events is below this multiple of the median.
+const MOVE_PACE_FACTOR: f64 = 1.5;
+/// Interval between checks for stalled runs, and for targets for the waiting items.
+const CHECK_INTERVAL: Millis = Millis(100);
 
-/// Runs the items of the owned partitions, in one thread.
+/// Runs the items of the owned partitions in a single thread.
 #[derive(Debug)]
 pub struct Runner {
     shared: Arc<Shared>,
     runs: Vec<Run>,
-    /// When stalled and slow runs were looked for last.
-    looked: Millis,
+    /// Time of the last check for stalled and slow runs.
+    last_check: Millis,
 }
 
-/// An item that runs at a target.
+/// A run: one attempt to run an item at a target.
 #[derive(Debug)]
 struct Run {
     part: u32,
@@ -44,18 +42,18 @@
     target: TargetName,
     address: SocketAddr,
     exchange: Exchange,
-    /// Bytes of an event that isn't whole yet.
+    /// Bytes of an incomplete event.
     buffer: Vec<u8>,
     began: Millis,
-    heard: Millis,
+    last_data: Millis,
     head_read: bool,
     pace: Pace,
     service: ServiceName,
 }
 
-/// How a run stands after its socket was served.
+/// The state of a run after its socket was served.
 enum Step {
-    Goes,
+    Active,
     Ended(RunEnd),
 }
 
@@ -69,7 +67,7 @@
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
-            looked: Millis::ZERO,
+            last_check: Millis::ZERO,
             runs: Vec::new(),
         }
     }
@@ -78,18 +76,18 @@
     ///
     /// # Errors
     ///
-    /// When the operating system refuses to wait for sockets.
+    /// Fails if polling the sockets fails.
     pub fn run(mut self) -> io::Result<()> {
         loop {
             let waiting = self.start_items();
             self.report();
-            let timeout = (waiting || !self.runs.is_empty()).then(|| LOOK.duration());
+            let timeout = (waiting || !self.runs.is_empty()).then(|| CHECK_INTERVAL.duration());
             self.wait(timeout)?;
             self.advance();
         }
     }
 
-    /// Tells the other hosts what runs here.
+    /// Reports the number of runs per target to the other hosts.
     fn report(&self) {
         let mut running: HashMap<TargetName, u32> = HashMap::new();
         for run in &self.runs {
@@ -107,7 +105,7 @@
         Ok(())
     }
 
-    /// Starts what may start; returns whether items are left that wait.
+    /// Starts the items that may start now; returns whether any item is left waiting.
     fn start_items(&mut self) -> bool {
         let Some(configuration) = self.shared.configuration() else {
             return false;
@@ -130,7 +128,7 @@
                     let submission = Arc::clone(&batch.submission);
                     let Some(route) = configuration.route(&submission.host, &submission.prefix)
                     else {
-                        log::warn!(batch:% = submission.id, item:% = submission.items[item].id; "item given up, its route is gone");
+                        log::warn!(batch:% = submission.id, item:% = submission.items[item].id; "item given up: its route is gone");
                         dropped.push(batch.finish(item, false));
                         continue;
                     };
@@ -139,7 +137,7 @@
                     };
                     let Some(run) = self.start(&configuration, &service, batch, item, now) else {
                         waiting = true;
-                        // The store may not have told yet that this version is named.
+                        // The operators' record of this version may not have arrived yet.
                         let (model, oldest) = (&submission.model, submission.min_version);
                         self.shared.learn_version(model, oldest, "a batch");
                         break;
@@ -153,7 +151,7 @@
                 }
             }
             for finished in dropped {
-                part.write(finished);
+                part.send_result(finished);
             }
         }
         drop(parts);
@@ -173,25 +171,32 @@
         let submission = Arc::clone(&batch.submission);
         let spec = &submission.items[index];
         let progress = &batch.items[index].progress;
-        let resumed = submission.single_version && progress.last_event.is_some();
-        let only = progress.version.filter(|_| resumed);
+        let resuming = submission.single_version && progress.last_event.is_some();
+        let pinned = progress.version.filter(|_| resuming);
         let models = configuration
             .services
             .get(service)
             .map(|service| &service.models[..]);
         let model = submission.model.clone();
         let mut fleet = shared.fleet();
-        let dealt = fleet.deal(service, models.unwrap_or_default());
-        let place = fleet.place(service, &model, submission.min_version, &dealt, None, now)?;
+        let assigned = fleet.assign_models(service, models.unwrap_or_default());
+        let place = fleet.place(
+            service,
+            &model,
+            submission.min_version,
+            &assigned,
+            None,
+            now,
+        )?;
         let (name, address) = (place.target, place.address);
-        let passing = Passing {
+        let context = ForwardContext {
             target: &name,
             workspace: Some(&submission.workspace),
-            left: None,
+            remaining: None,
             resume_after: progress.last_event,
-            version: only.or(place.expected),
+            version: pinned.or(place.expected),
         };
-        let request = shared.dialect.item(&submission, spec, &passing);
+        let request = shared.dialect.item_request(&submission, spec, &context);
         let connection = match shared.pool.connect(address) {
             Ok(connection) => connection,
             Err(error) => {
@@ -218,7 +223,7 @@
             exchange: Exchange::new(connection, &request),
             buffer: Vec::new(),
             began: now,
-            heard: now,
+            last_data: now,
             head_read: false,
             pace: Pace::default(),
             service: service.clone(),
@@ -226,17 +231,17 @@
         })
     }
 
-    /// Serves the sockets of all runs, and ends those whose batch has ended or whose partition was
-    /// given up.
+    /// Serves the sockets of all runs, and drops the runs whose batch has ended or whose partition
+    /// this host no longer owns.
     fn advance(&mut self) {
         let now = self.shared.clock.now();
         let shared = Arc::clone(&self.shared);
         let mut parts = shared.owned_batches.lock();
-        let look = now - self.looked >= LOOK;
-        if look {
-            self.looked = now;
+        let check_due = now - self.last_check >= CHECK_INTERVAL;
+        if check_due {
+            self.last_check = now;
         }
-        let mut going = Vec::with_capacity(self.runs.len());
+        let mut active = Vec::with_capacity(self.runs.len());
         for mut run in std::mem::take(&mut self.runs) {
             let part = parts
                 .get_mut(&run.part)
@@ -246,33 +251,33 @@
                 shared.fleet().finish(&run.target, Outcome::Dropped, now);
                 continue;
             };
-            let end = match run.step(&shared, batch, look, now) {
-                Step::Goes => {
-                    going.push(run);
+            let end = match run.step(&shared, batch, check_due, now) {
+                Step::Active => {
+                    active.push(run);
                     continue;
                 }
                 Step::Ended(end) => end,
             };
             let finished = run.end(&shared, batch, &end, now);
             if let (Some(finished), Some(part)) = (finished, parts.get_mut(&run.part)) {
-                part.write(finished);
+                part.send_result(finished);
             }
             run.release(&shared);
         }
         drop(parts);
-        self.runs.extend(going);
+        self.runs.extend(active);
     }
 }
 
 impl Run {
-    fn step(&mut self, shared: &Shared, batch: &mut Batch, look: bool, now: Millis) -> Step {
+    fn step(&mut self, shared: &Shared, batch: &mut Batch, check_due: bool, now: Millis) -> Step {
         let progress = self.exchange.advance();
         let failed = |failure, outcome| Step::Ended(RunEnd::Failed(failure, outcome));
         if !self.head_read
             && let Some(head) = self.exchange.head()
         {
             self.head_read = true;
-            self.heard = now;
+            self.last_data = now;
             let reply = shared.dialect.reply(head);
             let spec = &self.submission.items[self.item];
             if reply.id.as_deref() != Some(&spec.id) {
@@ -282,7 +287,9 @@
             if head.status == 200
                 && let Some(version) = reply.version
             {
-                shared.fleet().learn(&self.target, &self.model, version);
+                shared
+                    .fleet()
+                    .observe_version(&self.target, &self.model, version);
                 batch.items[self.item].progress.version = Some(version);
             }
         }
@@ -293,25 +300,25 @@
                 self.buffer.extend_from_slice(&bytes);
                 match self.read_events(shared, batch) {
                     Ok(events) => {
-                        let since_last = now - self.heard;
+                        let since_last = now - self.last_data;
                         if self.pace.events > 0 && events > 0 {
-                            let between_ms = since_last.0 as f64 / f64::from(events);
-                            shared.fleet().pace(&self.target, between_ms, now);
+                            let interval_ms = since_last.0 as f64 / f64::from(events);
+                            shared.fleet().record_pace(&self.target, interval_ms, now);
                         }
                         self.pace.push(events, since_last);
                     }
                     Err(failure) => return failed(failure, Outcome::Failed),
                 }
-                self.heard = now;
+                self.last_data = now;
             }
         }
         match progress {
-            Ok(Progress::Pending) if !look => Step::Goes,
+            Ok(Progress::Pending) if !check_due => Step::Active,
             Ok(Progress::Pending) => self.check_stall(shared, batch, now),
             Ok(Progress::Done) => self.done(shared, batch, now),
             Err(error) => {
                 let spec = &self.submission.items[self.item];
-                log::info!(item:% = spec.id, target_name:% = self.target, error:%; "run broke off");
+                log::info!(item:% = spec.id, target_name:% = self.target, error:%; "connection of a run failed");
                 let failure = match error {
                     CallError::Connect { .. } => RunFailure::NotRun,
                     _ => RunFailure::Broken,
@@ -322,12 +329,12 @@
     }
 
     fn check_stall(&self, shared: &Shared, batch: &Batch, now: Millis) -> Step {
-        let silent = now - self.heard;
+        let silent = now - self.last_data;
         if let Some(reason) = self.check_move(shared, batch, now) {
             let spec = &self.submission.items[self.item];
             log::info!(
                 item:% = spec.id, target_name:% = self.target, reason:?, silent_ms = silent.0,
-                between_ms = self.pace.between_ms, events = self.pace.events;
+                between_ms = self.pace.interval_ms, events = self.pace.events;
                 "run moves"
             );
             let outcome = match reason {
@@ -337,46 +344,47 @@
             return Step::Ended(RunEnd::Failed(RunFailure::Moved, outcome));
         }
         let bound = match (self.head_read, self.exchange.was_sent()) {
-            (true, _) => EVENT_STALL,
-            (false, true) => HEAD_STALL,
-            (false, false) => CONNECT_STALL,
+            (true, _) => EVENT_TIMEOUT,
+            (false, true) => HEAD_TIMEOUT,
+            (false, false) => CONNECT_TIMEOUT,
         };
         if silent < bound {
-            return Step::Goes;
+            return Step::Active;
         }
         let spec = &self.submission.items[self.item];
-        log::info!(item:% = spec.id, target_name:% = self.target, silent_ms = silent.0, head = self.head_read; "run stalled");
+        log::info!(item:% = spec.id, target_name:% = self.target, silent_ms = silent.0, head = self.head_read; "run timed out");
         Step::Ended(RunEnd::Failed(RunFailure::Broken, Outcome::Failed))
     }
 
-    /// Returns why the run goes on elsewhere, if it is worth it and there is room.
+    /// Returns why the run should move to another target; `None` if it should stay, no fast enough
+    /// target has a free slot, or its output must come from a single version.
     fn check_move(&self, shared: &Shared, batch: &Batch, now: Millis) -> Option<Move> {
         let fleet = shared.fleet();
         let view = RunView {
-            begun: self.head_read,
-            silent: now - self.heard,
+            answering: self.head_read,
+            silent: now - self.last_data,
             pace: self.pace,
-            usual_ms: fleet.usual_pace(&self.service, now),
+            median_ms: fleet.median_pace(&self.service, now),
             moves: batch.items[self.item].moves,
         };
         let reason = decide_move(&view)?;
         let min_version = self.submission.min_version;
-        let dealt = HashMap::new();
-        let besides = Some(&self.target);
+        let assigned = HashMap::new();
+        let excluded = Some(&self.target);
         let other = fleet.place(
             &self.service,
             &self.model,
             min_version,
-            &dealt,
-            besides,
+            &assigned,
+            excluded,
             now,
         )?;
-        let known = other.pace.zip(view.usual_ms);
-        let faster = known.is_none_or(|(pace, usual)| pace < usual * FASTER_FACTOR);
+        let paces = other.pace.zip(view.median_ms);
+        let faster = paces.is_none_or(|(pace, median)| pace < median * MOVE_PACE_FACTOR);
         (faster && !self.submission.single_version).then_some(reason)
     }
 
-    /// Takes over the events that are whole; returns how many.
+    /// Appends the complete events in the buffer to the item's output; returns their number.
     fn read_events(&mut self, shared: &Shared, batch: &mut Batch) -> Result<u32, RunFailure> {
         let spec = &self.submission.items[self.item];
         let progress = &mut batch.items[self.item].progress;
@@ -386,14 +394,16 @@
             let event = shared.dialect.event(&lines[..end]);
             if let Some(version) = event.version {
                 progress.version = Some(version);
-                shared.fleet().learn(&self.target, &self.model, version);
+                shared
+                    .fleet()
+                    .observe_version(&self.target, &self.model, version);
             }
             let Some(number) = event.number else {
                 continue;
             };
             let expected = progress.last_event.map(|last| last + 1);
             if expected.is_some_and(|expected| expected != number) {
-                log::warn!(item:% = spec.id, target_name:% = self.target, number, expected; "event out of order");
+                log::warn!(item:% = spec.id, target_name:% = self.target, number, expected; "event number out of order");
                 return Err(RunFailure::Broken);
             }
             let stale = progress
@@ -405,7 +415,7 @@
                     .last()
                     .is_some_and(|last| Some(*last) != progress.version);
             if stale || mixed {
-                log::warn!(item:% = spec.id, target_name:% = self.target, version:? = progress.version, min_version = self.submission.min_version; "run under a version that doesn't fit");
+                log::warn!(item:% = spec.id, target_name:% = self.target, version:? = progress.version, min_version = self.submission.min_version; "unusable model version: too old, or mixed within one result");
                 return Err(RunFailure::Unusable);
             }
             progress.push(number, &event.data);
@@ -416,7 +426,7 @@
 
     fn done(&mut self, shared: &Shared, batch: &mut Batch, now: Millis) -> Step {
         let Some(head) = self.exchange.head() else {
-            return Step::Goes;
+            return Step::Active;
         };
         let (status, reply) = (head.status, shared.dialect.reply(head));
         let failed = |failure, outcome| Step::Ended(RunEnd::Failed(failure, outcome));
@@ -437,7 +447,7 @@
         }
     }
 
-    /// Takes over how the run ended; returns the item if it ended too.
+    /// Records how the run ended; returns the result if the item has ended too.
     fn end(
         &self,
         shared: &Shared,
@@ -458,7 +468,7 @@
                 let finished = batch.finish(self.item, true);
                 log::info!(
                     batch:% = self.submission.id, item:% = spec.id, target_name:% = self.target,
-                    took_ms, events, moves, between_ms = self.pace.between_ms,
+                    took_ms, events, moves, between_ms = self.pace.interval_ms,
                     versions:? = finished.result.versions;
                     "item completed"
                 );
@@ -478,7 +488,7 @@
         }
     }
 
-    /// Keeps the connection if it can carry another request.
+    /// Returns the connection to the pool if it can be reused.
     fn release(self, shared: &Shared) {
         let connection: Option<Connection> = self.exchange.finish().1;
         if let Some(connection) = connection {
--- a/crates/godwitspool-host/src/batch/state.rs
+++ b/crates/godwitspool-host/src/batch/state.rs
@@ -5,35 +5,37 @@
 
 use super::{ItemResult, Submission, order_items};
 
-/// Pause before an item is tried again after its target failed it; a target that refuses for lack
-/// of room pauses itself.
-const RETRY_PAUSE: Millis = Millis(100);
-/// Broken runs in a row without an event after which an item may be what crashes its targets.
-const FRUITLESS_MAX: u32 = 3;
-/// Pause of such an item, doubled with each further run. Below the 5 s without a run after which the
-/// platform's rules count an item as forgotten, and long beside the second that a target takes to
-/// come back.
-const SUSPECT_PAUSE: Millis = Millis(4_500);
-/// Doublings after which the pause stays.
-const DOUBLINGS_MAX: u32 = 6;
-/// Rejections of an item after which it is given up: one says that it can never be done.
-const REJECTIONS_MAX: u32 = 1;
+/// Delay before an item is retried after a run failed. Refused items are not delayed, since the
+/// refusing target is paused itself.
+const RETRY_BACKOFF: Millis = Millis(100);
+/// Number of consecutive broken runs without a new event after which the item is suspected of
+/// crashing its targets.
+const MAX_EMPTY_RUNS: u32 = 3;
+/// Delay before a suspected item is retried; doubles with each further run. It is shorter than the
+/// 5 s without a run after which the platform considers an item forgotten, and much longer than the
+/// second that a target needs to restart.
+const SUSPECT_BACKOFF: Millis = Millis(4_500);
+/// Maximum number of doublings of [`SUSPECT_BACKOFF`].
+const MAX_DOUBLINGS: u32 = 6;
+/// Number of rejections after which an item is given up: a rejection means that no target can ever
+/// serve it.
+const MAX_REJECTIONS: u32 = 1;
 
-/// What an item has generated so far.
+/// The partial output of an item.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Progress {
-    /// Data of the events, one a line.
+pub struct ItemProgress {
+    /// Data of the events, joined with line feeds.
     pub text: Vec<u8>,
-    /// Number of the last event.
+    /// Number of the last event; `None` before the first one.
     pub last_event: Option<u64>,
-    /// Versions that generated it, in the order of use.
+    /// Versions of the model that generated the output, in the order of use.
     pub versions: Vec<u64>,
-    /// Version that generates now.
+    /// Version of the model that generates the next events, if known.
     pub version: Option<u64>,
 }
 
-impl Progress {
-    /// Adds an event.
+impl ItemProgress {
+    /// Appends the data of an event.
     pub fn push(&mut self, number: u64, data: &[u8]) {
         if self.last_event.is_some() {
             self.text.push(b'\n');
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Returns the versions ascending, each once.
+    /// Returns the versions in ascending order without duplicates.
     pub fn distinct_versions(&self) -> Vec<u64> {
         let mut versions = self.versions.clone();
         versions.sort_unstable();
@@ -56,79 +58,79 @@
     }
 }
 
-/// Where an item stands.
+/// The state of an item.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ItemState {
-    /// It may start, no sooner than at a time.
+    /// The item waits for a target.
     Waiting {
-        /// The time.
+        /// Earliest time at which it may start.
         not_before: Millis,
     },
-    /// It runs at a target.
+    /// The item runs at a target.
     Running,
-    /// It has ended; its result is listed or on its way to the store.
+    /// The item has ended. Its result is stored or queued for the store.
     Done,
 }
 
 /// An item of a batch that this host runs.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// Where it stands.
+    /// Whether the item waits, runs or has ended.
     pub state: ItemState,
-    /// Runs that failed at their target.
+    /// Number of runs that the target reported as failed.
     pub failures: u32,
-    /// Runs that the target rejected for good.
+    /// Number of runs that the target rejected for good.
     pub rejections: u32,
-    /// Broken runs in a row that generated nothing.
-    pub fruitless: u32,
-    /// Runs that were moved to another target.
+    /// Number of consecutive broken runs without a new event.
+    pub empty_runs: u32,
+    /// Number of moves to another target.
     pub moves: u32,
-    /// What was generated so far.
-    pub progress: Progress,
-    /// Number of the last event that a record of the store holds, or may hold.
-    pub saved: Option<u64>,
-    /// Number of the last event when a run broke last.
-    broke_after: Option<u64>,
+    /// Partial output.
+    pub progress: ItemProgress,
+    /// Number of the last event that the store holds, or may hold; `None` if nothing was saved.
+    pub saved_event: Option<u64>,
+    /// Number of the last event at the time of the previous broken run.
+    break_event: Option<u64>,
 }
 
 impl Item {
-    /// Tells whether so many events more than the store holds were generated.
-    pub fn is_unsaved(&self, events: u64) -> bool {
+    /// Returns whether the item is unfinished and has at least `events` events that are not saved.
+    pub fn has_unsaved(&self, events: u64) -> bool {
         let known = self.progress.last_event.unwrap_or_default();
-        self.state != ItemState::Done && known >= self.saved.unwrap_or_default() + events
+        self.state != ItemState::Done && known >= self.saved_event.unwrap_or_default() + events
     }
 
-    /// Counts a broken run.
-    fn note_break(&mut self) {
+    /// Updates the counters after a broken run.
+    fn record_break(&mut self) {
         let last = self.progress.last_event;
-        self.fruitless = if last == self.broke_after {
-            self.fruitless + 1
+        self.empty_runs = if last == self.break_event {
+            self.empty_runs + 1
         } else {
             0
         };
-        self.broke_after = last;
+        self.break_event = last;
     }
 }
 
-/// How a run ended without the whole output.
+/// Why a run ended without the complete output.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunFailure {
-    /// The connection broke or fell silent; what has arrived stays.
+    /// The connection broke or timed out. The output that has arrived is kept.
     Broken,
-    /// The target failed the request: an attempt is used up.
+    /// The target reported a failure, which counts as an attempt.
     Failed,
     /// The target rejected the request for good.
     Rejected,
-    /// It goes on at another target; what has arrived stays.
+    /// The run was moved to another target. The output that has arrived is kept.
     Moved,
-    /// The target didn't run it.
+    /// The target didn't run the request.
     NotRun,
-    /// The output can't be used, so the next run starts from the beginning.
+    /// The output has a version that doesn't fit. It is discarded, and the next run starts over.
     Unusable,
 }
 
 impl RunFailure {
-    /// Returns the value as it stands in metrics.
+    /// Returns the label value in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Broken => "broken",
@@ -141,52 +143,53 @@
     }
 }
 
-/// What follows a failed run.
+/// What happens to an item after a failed run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The item is tried again.
+    /// The item is retried.
     Retry,
-    /// The item is given up.
+    /// The item ends without output.
     GiveUp,
 }
 
-/// An item that ended, on its way to the store.
+/// The result of an item that has ended and is queued for the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finished {
-    /// The batch.
+    /// Identifier of the batch.
     pub batch: String,
-    /// The result.
+    /// Result of the item.
     pub result: ItemResult,
 }
 
-/// A batch at the host that owns it.
+/// A batch at the host that owns its partition.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// As it was submitted.
+    /// The batch as it was submitted.
     pub submission: Arc<Submission>,
-    /// The items.
+    /// State of each item, in the order of the submission.
     pub items: Vec<Item>,
-    /// Results that the store holds, by position.
+    /// Results that the store has confirmed, by position.
     pub results: Vec<Arc<ItemResult>>,
-    /// Whether it has been ended.
+    /// Whether the caller has ended the batch.
     pub ended: bool,
+    /// Indexes of the items in the order in which they start.
     order: Vec<usize>,
 }
 
 impl Batch {
-    /// Takes over a batch with the results that the store holds.
+    /// Creates a batch from its submission and the results that the store holds.
     pub fn new(submission: Arc<Submission>, results: Vec<Arc<ItemResult>>) -> Self {
         let waiting = Item {
             state: ItemState::Waiting {
                 not_before: Millis::ZERO,
             },
             failures: 0,
-            fruitless: 0,
+            empty_runs: 0,
             rejections: 0,
             moves: 0,
-            progress: Progress::default(),
-            saved: None,
-            broke_after: None,
+            progress: ItemProgress::default(),
+            saved_event: None,
+            break_event: None,
         };
         let mut items = vec![waiting; submission.items.len()];
         for result in &results {
@@ -203,11 +206,12 @@
         }
     }
 
-    /// Takes over what an earlier owner has saved of an item.
-    pub fn resume(&mut self, item: u32, progress: Progress) {
+    /// Restores the partial output of an item that an earlier owner has saved. The first call for
+    /// an item wins.
+    pub fn resume(&mut self, item: u32, progress: ItemProgress) {
         let item = self.items.get_mut(item as usize);
         if let Some(item) = item.filter(|item| item.progress.last_event.is_none()) {
-            item.saved = progress.last_event;
+            item.saved_event = progress.last_event;
             if item.state != ItemState::Done {
                 item.progress = progress;
             }
@@ -218,7 +222,8 @@
     ///
     /// # Errors
     ///
-    /// With the time at which the first one may, if none may now.
+    /// If no item may start now, returns the earliest time at which a waiting one may, or `None` if
+    /// no item is waiting.
     pub fn next_item(&self, now: Millis) -> Result<usize, Option<Millis>> {
         if self.ended {
             return Err(None);
@@ -236,34 +241,35 @@
         Err(soonest)
     }
 
-    /// Returns whether any item has neither a result nor was given up.
+    /// Returns whether the batch was not ended and some item has no stored result. Batches that are
+    /// not open are closed.
     pub fn is_open(&self) -> bool {
         !self.ended && self.results.len() < self.items.len()
     }
 
-    /// Takes over the failure of a run and decides what follows.
+    /// Records a failed run of an item and decides whether the item is retried.
     pub fn fail(&mut self, item: usize, failure: RunFailure, now: Millis) -> Verdict {
         let attempts = self.submission.attempts.max(1);
         let item = &mut self.items[item];
         match failure {
             RunFailure::Failed => item.failures += 1,
             RunFailure::Rejected => item.rejections += 1,
-            RunFailure::Unusable => item.progress = Progress::default(),
+            RunFailure::Unusable => item.progress = ItemProgress::default(),
             RunFailure::Moved => item.moves += 1,
-            RunFailure::Broken => item.note_break(),
+            RunFailure::Broken => item.record_break(),
             RunFailure::NotRun => {}
         }
-        if item.failures >= attempts || item.rejections >= REJECTIONS_MAX {
+        if item.failures >= attempts || item.rejections >= MAX_REJECTIONS {
             item.state = ItemState::Done;
             return Verdict::GiveUp;
         }
         let pause = match failure {
             RunFailure::Moved | RunFailure::NotRun => Millis::ZERO,
-            RunFailure::Broken if item.fruitless >= FRUITLESS_MAX => {
-                let doublings = (item.fruitless - FRUITLESS_MAX).min(DOUBLINGS_MAX);
-                Millis(SUSPECT_PAUSE.0 << doublings)
+            RunFailure::Broken if item.empty_runs >= MAX_EMPTY_RUNS => {
+                let doublings = (item.empty_runs - MAX_EMPTY_RUNS).min(MAX_DOUBLINGS);
+                Millis(SUSPECT_BACKOFF.0 << doublings)
             }
-            _ => RETRY_PAUSE,
+            _ => RETRY_BACKOFF,
         };
         item.state = ItemState::Waiting {
             not_before: now + pause,
@@ -271,7 +277,7 @@
         Verdict::Retry
     }
 
-    /// Returns the result of an item that ended, and marks it so.
+    /// Marks an item as done and returns its result, which has output only if it is completed.
     pub fn finish(&mut self, index: usize, completed: bool) -> Finished {
         let item = &mut self.items[index];
         item.state = ItemState::Done;
--- a/crates/godwitspool-host/src/process/tails.rs
+++ b/crates/godwitspool-host/src/process/tails.rs
@@ -60,7 +60,7 @@
                     log::info!(topic:?; "store answers again");
                     unreachable = false;
                 }
-                let changes = mirrors(shared)[index(topic)].take(fetched, now);
+                let changes = mirrors(shared)[index(topic)].update(fetched, now);
                 let lapsing = last_failure.is_some_and(|failed| now - failed < LAPSE_WINDOW);
                 apply(shared, topic, changes, lapsing);
                 if topic == Topic::Targets {
