--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -1,4 +1,5 @@
-//! Generation requests: streamed to the caller from one engine, or from several in turn.
+//! Generation requests, streamed to the caller. When an engine fails, another one resumes the
+//! answer.
 
 use std::{io::Read, sync::Arc};
 
@@ -6,57 +7,59 @@
     CallError, TargetClient,
     engine::{Chunk, Finish, Generate},
 };
-use godwitspool_request::{AnswerAssembler, Reason, Refusal as Decided, StreamToken, TokenOutcome};
+use godwitspool_request::{
+    AnswerAssembler, Reason, Refusal as PolicyRefusal, StreamToken, TokenOutcome,
+};
 use godwitspool_types::{Millis, Ran, RequestId};
 use tiny_http::Request;
 
 use crate::{
-    connection::answer::Answering,
-    process::{billing::Got, shared::Shared},
+    connection::answer::Responder,
+    process::{billing::AnswerUsage, shared::Shared},
     request::{
+        admitted::{AdmittedRequest, FailedAttempt},
         authorize::{self, OpenGuard},
-        dispatch::Paces,
+        dispatch::IdleTimeouts,
         journal::Step,
         refusal::Refusal,
-        tries::{Failed, Tries},
         work::{self, Work},
     },
 };
 
 const PATH: &str = "/v1/chat/completions";
 
-/// Answers a generation request.
+/// Serves a generation request.
 pub(crate) fn handle(mut request: Request, shared: &Arc<Shared>) {
     let id = RequestId::random();
     let prepared = prepare(&mut request, shared, id);
-    let mut answering = Answering::new(request, id, Arc::clone(shared));
-    let ending = prepared.and_then(|prepared| {
-        let tries = Tries::begin(shared, prepared.work.clone())?;
+    let mut responder = Responder::new(request, id, Arc::clone(shared));
+    let end = prepared.and_then(|prepared| {
+        let admitted = AdmittedRequest::begin(shared, prepared.work.clone())?;
         let mut generation = Generation {
-            answering: &mut answering,
+            responder: &mut responder,
             generate: prepared.generate,
             open: prepared.open,
             shared: Arc::clone(shared),
-            span: prepared.span,
-            stitch: AnswerAssembler::default(),
-            tries,
+            time_limit: prepared.time_limit,
+            assembler: AnswerAssembler::default(),
+            admitted,
         };
-        let ending = generation.run();
-        generation.bill(&ending);
-        ending
+        let end = generation.run();
+        generation.record_usage(&end);
+        end
     });
-    match ending {
-        Ok(Ending::Left) => {}
-        Ok(Ending::Whole) => answering.finish(),
-        Err(refusal) => answering.refuse(&refusal),
+    match end {
+        Ok(GenerationEnd::CallerLeft) => {}
+        Ok(GenerationEnd::Complete) => responder.finish(),
+        Err(refusal) => responder.refuse(&refusal),
     }
 }
 
-/// A request whose caller is known.
+/// A request that is authorized and parsed.
 struct Prepared {
     generate: Generate,
     open: OpenGuard,
-    span: Millis,
+    time_limit: Millis,
     work: Work,
 }
 
@@ -79,7 +82,7 @@
     let alias = generate.model.as_str().into();
     let caller = serving.keys.check(digest.as_ref(), &alias, now)?;
     let open = serving.keys.open(id, digest);
-    serving.note(
+    serving.record_step(
         id,
         Step::Caller {
             service: caller.service.to_string(),
@@ -91,28 +94,28 @@
         generate.model = rules.model.clone();
     }
     generate.stream = true;
-    let print = work::fingerprint(&caller.service, PATH, &body);
-    let work = Work::new(id, caller, print, &view.configuration, now);
+    let request_fingerprint = work::fingerprint(&caller.service, PATH, &body);
+    let work = Work::new(id, caller, request_fingerprint, &view.configuration, now);
     Ok(Prepared {
         generate,
         open,
-        span: work.deadline - now,
+        time_limit: work.deadline - now,
         work,
     })
 }
 
-/// Reads the body of a request.
+/// Reads the body of a request, up to the limit in the settings.
 pub(crate) fn read_body(request: &mut Request, shared: &Shared) -> Result<Vec<u8>, Refusal> {
-    let most = u64::from(shared.settings.body_bytes);
+    let max_bytes = u64::from(shared.settings.body_bytes);
     let mut body = Vec::new();
     request
         .as_reader()
-        .take(most + 1)
+        .take(max_bytes + 1)
         .read_to_end(&mut body)
         .map_err(|error| Refusal::BadBody {
             message: error.to_string(),
         })?;
-    if body.len() as u64 > most {
+    if body.len() as u64 > max_bytes {
         return Err(Reason::BodyTooLarge.into());
     }
     Ok(body)
@@ -120,181 +123,197 @@
 
 /// How a generation ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Ending {
-    /// The caller went away.
-    Left,
-    /// The answer is whole, but for its end.
-    Whole,
+enum GenerationEnd {
+    /// The caller closed the connection.
+    CallerLeft,
+    /// All tokens were sent; the terminator is still to be sent.
+    Complete,
 }
 
-/// How an attempt ended.
-enum Ended {
-    /// The key was withdrawn.
-    Cut,
-    Failed(Failed),
-    /// The caller went away.
-    Left,
-    /// The engine says that the request is wrong.
-    Wrong(String),
-    Whole,
+/// How one attempt of a generation ended.
+enum AttemptEnd {
+    /// The request's key was withdrawn.
+    KeyWithdrawn,
+    Failed(FailedAttempt),
+    /// The caller closed the connection.
+    CallerLeft,
+    /// The engine rejected the request as invalid.
+    Rejected(String),
+    Complete,
 }
 
-/// A generation under way.
+/// A generation in progress.
 struct Generation<'a> {
-    answering: &'a mut Answering,
+    responder: &'a mut Responder,
     generate: Generate,
     open: OpenGuard,
     shared: Arc<Shared>,
-    span: Millis,
-    stitch: AnswerAssembler,
-    tries: Tries,
+    /// Time for the whole request, counted anew when an attempt fails after tokens have arrived.
+    time_limit: Millis,
+    assembler: AnswerAssembler,
+    admitted: AdmittedRequest,
 }
 
 impl Generation<'_> {
-    fn run(&mut self) -> Result<Ending, Refusal> {
+    fn run(&mut self) -> Result<GenerationEnd, Refusal> {
         let mut attempt = 0;
         loop {
             match self.attempt(attempt) {
-                Ended::Whole => {
-                    self.tries.answered();
-                    let tokens = self.stitch.tokens().len() as u32;
+                AttemptEnd::Complete => {
+                    self.admitted.answered();
+                    let tokens = self.assembler.tokens().len() as u32;
                     self.shared
                         .serving
-                        .note(self.tries.work.id, Step::Whole { tokens });
-                    return Ok(Ending::Whole);
+                        .record_step(self.admitted.work.id, Step::Whole { tokens });
+                    return Ok(GenerationEnd::Complete);
                 }
-                Ended::Left => return Ok(Ending::Left),
-                Ended::Cut => return Err(Reason::KeyWithdrawnMidway.into()),
-                Ended::Wrong(message) => {
-                    log::info!("engine refuses a request: {message}");
-                    let refusal = Decided {
+                AttemptEnd::CallerLeft => return Ok(GenerationEnd::CallerLeft),
+                AttemptEnd::KeyWithdrawn => return Err(Reason::KeyWithdrawnMidway.into()),
+                AttemptEnd::Rejected(message) => {
+                    log::info!("engine rejected a request as invalid: {message}");
+                    let refusal = PolicyRefusal {
                         ran: Ran::Ran,
                         ..Reason::RequestInvalid.into()
                     };
                     return Err(refusal.into());
                 }
-                Ended::Failed(failed) => {
-                    if !self.stitch.tokens().is_empty() {
-                        self.tries.extend(self.span);
+                AttemptEnd::Failed(failed) => {
+                    if !self.assembler.tokens().is_empty() {
+                        self.admitted.extend(self.time_limit);
                     }
-                    self.tries.fail(failed)?;
-                    attempt = self.stitch.restart();
+                    self.admitted.fail(failed)?;
+                    attempt = self.assembler.restart();
                 }
             }
         }
     }
 
-    /// Counts what the caller got. A whole answer's end waits until other hosts hold the count.
-    fn bill(&self, ending: &Result<Ending, Refusal>) {
-        let tokens = self.stitch.tokens().len() as u64;
-        if tokens > 0 || *ending == Ok(Ending::Whole) {
-            let got = Got {
-                request: self.tries.work.id,
+    /// Bills the tokens sent to the caller. Waits for a bounded time until a steward holds the
+    /// usage record, since the caller of [`run`](Self::run) ends the answer afterwards.
+    fn record_usage(&self, end: &Result<GenerationEnd, Refusal>) {
+        let tokens = self.assembler.tokens().len() as u64;
+        if tokens > 0 || *end == Ok(GenerationEnd::Complete) {
+            let usage = AnswerUsage {
+                request: self.admitted.work.id,
                 tokens,
             };
             self.shared
                 .billing
-                .count(&self.shared, &self.tries.work.caller, got);
+                .record_and_wait(&self.shared, &self.admitted.work.caller, usage);
         }
     }
 
-    fn attempt(&mut self, attempt: u32) -> Ended {
-        let target = self.tries.on.target.clone();
-        let mut paces = self.shared.serving.dispatch.paces(&target);
-        let ended = self.read(attempt, &mut paces);
-        self.shared.serving.dispatch.set_paces(&target, paces);
+    fn attempt(&mut self, attempt: u32) -> AttemptEnd {
+        let target = self.admitted.assignment.target.clone();
+        let mut idle_timeouts = self.shared.serving.dispatch.idle_timeouts(&target);
+        let ended = self.read_stream(attempt, &mut idle_timeouts);
+        self.shared
+            .serving
+            .dispatch
+            .set_idle_timeouts(&target, idle_timeouts);
         if let Err(CallError::Silent { .. }) = &ended {
-            // Its siblings in the pool may be as dead; the next request opens a new one.
-            self.shared.client(self.tries.on.address).condemn_pooled();
+            // Other pooled connections to the target may be dead too, so the next request opens a
+            // new one.
+            self.shared
+                .client(self.admitted.assignment.address)
+                .condemn_pooled();
         }
         match ended {
             Ok(ended) => ended,
-            // Every token has come; only the terminator is missing.
-            Err(_) if self.stitch.is_finished() => Ended::Whole,
+            // All tokens have arrived and only the terminator is missing.
+            Err(_) if self.assembler.is_finished() => AttemptEnd::Complete,
             Err(CallError::Status {
                 status: 400..=428 | 430..=499,
                 message,
                 ..
-            }) => Ended::Wrong(message),
+            }) => AttemptEnd::Rejected(message),
             Err(error) => {
-                let flowing = !self.stitch.tokens().is_empty();
-                let caller = self.tries.work.need.caller;
-                Ended::Failed(Failed::new(&error, flowing, caller))
+                let streaming = !self.assembler.tokens().is_empty();
+                let caller = self.admitted.work.need.caller;
+                AttemptEnd::Failed(FailedAttempt::new(&error, streaming, caller))
             }
         }
     }
 
-    /// Reads one engine's stream.
-    fn read(&mut self, attempt: u32, paces: &mut Paces) -> Result<Ended, CallError> {
-        self.generate.request = format!("{}-{attempt}", self.tries.work.id);
-        self.generate.resume = self.stitch.tokens().to_vec();
+    /// Reads one engine's stream and forwards it to the caller.
+    fn read_stream(
+        &mut self,
+        attempt: u32,
+        idle_timeouts: &mut IdleTimeouts,
+    ) -> Result<AttemptEnd, CallError> {
+        self.generate.request = format!("{}-{attempt}", self.admitted.work.id);
+        self.generate.resume = self.assembler.tokens().to_vec();
         let serving = &self.shared.serving;
-        let mut heard = serving.now();
-        let patience = self.tries.work.patience(heard);
+        let mut last_chunk_at = serving.now();
+        let first_timeout = self.admitted.work.first_byte_timeout(last_chunk_at);
         let client = self.client();
-        let mut stream = client.generate(&self.generate, paces.first.current().min(patience))?;
+        let mut stream = client.generate(
+            &self.generate,
+            idle_timeouts.first.current().min(first_timeout),
+        )?;
         let mut first = true;
         loop {
             let chunk = stream.next_chunk()?;
             let now = self.shared.serving.now();
             if std::mem::take(&mut first) {
-                paces.first.observe(now - heard);
+                idle_timeouts.first.observe(now - last_chunk_at);
             } else {
-                paces.next.observe(now - heard);
+                idle_timeouts.next.observe(now - last_chunk_at);
             }
-            heard = now;
-            stream.set_idle(paces.next.current());
-            if self.open.is_cut() {
-                return Ok(Ended::Cut);
+            last_chunk_at = now;
+            stream.set_idle(idle_timeouts.next.current());
+            if self.open.is_withdrawn() {
+                return Ok(AttemptEnd::KeyWithdrawn);
             }
             let Some(chunk) = chunk else {
-                self.stitch.terminate(attempt);
-                return if self.stitch.is_complete() {
-                    Ok(Ended::Whole)
+                self.assembler.terminate(attempt);
+                return if self.assembler.is_complete() {
+                    Ok(AttemptEnd::Complete)
                 } else {
                     Err(CallError::Truncated)
                 };
             };
-            if let Some(ended) = self.pass(attempt, chunk)? {
+            if let Some(ended) = self.forward(attempt, chunk)? {
                 return Ok(ended);
             }
         }
     }
 
-    /// Passes a chunk on to the caller.
-    fn pass(&mut self, attempt: u32, mut chunk: Chunk) -> Result<Option<Ended>, CallError> {
+    /// Forwards a chunk to the caller, unless an earlier attempt already sent its token.
+    fn forward(&mut self, attempt: u32, mut chunk: Chunk) -> Result<Option<AttemptEnd>, CallError> {
         let Some(choice) = chunk.choices.first() else {
             return Ok(None);
         };
         let last = matches!(choice.finish_reason, Some(Finish::Length | Finish::Stop));
-        let early = choice.finish_reason.is_some() && !last;
-        let piece = StreamToken {
+        let ended_early = choice.finish_reason.is_some() && !last;
+        let token = StreamToken {
             attempt,
             index: choice.index,
             last,
             text: choice.delta.content.clone(),
         };
-        let stitched = self.stitch.push(&piece);
-        if stitched == TokenOutcome::Gap {
-            let cause = format!("token {} is missing", self.stitch.tokens().len());
+        let outcome = self.assembler.push(&token);
+        if outcome == TokenOutcome::Gap {
+            let cause = format!("token {} is missing", self.assembler.tokens().len());
             return Err(CallError::Protocol { cause });
         }
-        if early {
+        if ended_early {
             return Err(CallError::Truncated);
         }
-        if stitched == TokenOutcome::Next || last {
-            chunk.id = self.tries.work.id.to_string();
-            if self.answering.send(&chunk).is_err() {
-                return Ok(Some(Ended::Left));
+        if outcome == TokenOutcome::Next || last {
+            chunk.id = self.admitted.work.id.to_string();
+            if self.responder.send(&chunk).is_err() {
+                return Ok(Some(AttemptEnd::CallerLeft));
             }
         }
         Ok(None)
     }
 
-    /// Returns the client; a request that may not run twice gets a connection of its own.
+    /// Returns the target's client. A request that must not run twice gets a client of its own,
+    /// with no pooled connections, since one of those may be dead.
     fn client(&self) -> TargetClient {
-        let address = self.tries.on.address;
-        if self.tries.work.attempts.idempotent {
+        let address = self.admitted.assignment.address;
+        if self.admitted.work.attempts.idempotent {
             self.shared.client(address)
         } else {
             TargetClient::new(address)
--- a/crates/godwitspool-entry/src/request/peers.rs
+++ b/crates/godwitspool-entry/src/request/peers.rs
@@ -1,4 +1,4 @@
-//! What other entries ask on the interactive path.
+//! Messages of other entries about callers' requests.
 
 use std::sync::Arc;
 
@@ -7,17 +7,17 @@
 
 use crate::{
     process::shared::Shared,
-    request::{keyed, quota, suspicion},
+    request::{idempotency, quota, suspicion},
 };
 
-/// Answers another entry, or this one where it is itself the home.
+/// Answers a message of another entry, or of this one if it is itself the home host.
 pub(crate) fn answer(shared: &Arc<Shared>, message: ServingRequest) -> ServingAnswer {
     match message {
         ServingRequest::AskTrial { host, known } => {
             ServingAnswer::Trial(suspicion::answer_trial(shared, host, known))
         }
         ServingRequest::Claim { host, key, print } => {
-            ServingAnswer::Claim(keyed::answer_claim(shared, key, print, &host))
+            ServingAnswer::Claim(idempotency::answer_claim(shared, key, print, &host))
         }
         ServingRequest::Limits {
             arrived,
@@ -25,28 +25,28 @@
             running,
             workspace,
         } => {
-            let want = LimitDemand { arrived, running };
-            ServingAnswer::Grant(quota::answer(shared, &workspace, &host, want))
+            let demand = LimitDemand { arrived, running };
+            ServingAnswer::Grant(quota::answer(shared, &workspace, &host, demand))
         }
         ServingRequest::Probe => ServingAnswer::Here,
-        told => {
-            take(shared, told);
+        notice => {
+            handle_notification(shared, notice);
             ServingAnswer::Done
         }
     }
 }
 
-/// Takes what needs no answer.
-fn take(shared: &Arc<Shared>, told: ServingRequest) {
-    match told {
-        ServingRequest::Announce(_) | ServingRequest::Clear(_) => suspicion::hear(shared, &told),
+/// Handles a message that needs no answer.
+fn handle_notification(shared: &Arc<Shared>, notice: ServingRequest) {
+    match notice {
+        ServingRequest::Announce(_) | ServingRequest::Clear(_) => suspicion::apply(shared, &notice),
         ServingRequest::Blame {
             part,
             print,
             target,
-        } => suspicion::settle(shared, suspicion::blame(part, print, target)),
+        } => suspicion::handle_event(shared, suspicion::blamed(part, print, target)),
         ServingRequest::EndTrial { answered, print } => {
-            suspicion::settle(
+            suspicion::handle_event(
                 shared,
                 SuspectEvent::TrialEnded {
                     answered,
@@ -54,14 +54,14 @@
                 },
             );
         }
-        ServingRequest::HandOver(items) => keyed::take_items(shared, items),
-        ServingRequest::Lift(print) => suspicion::settle(shared, SuspectEvent::Lift(print)),
+        ServingRequest::HandOver(items) => idempotency::accept_items(shared, items),
+        ServingRequest::Lift(print) => suspicion::handle_event(shared, SuspectEvent::Lift(print)),
         ServingRequest::Loads(loads) => {
             shared.serving.dispatch.report(&loads);
             shared.rollouts.report(&loads);
         }
-        ServingRequest::Release { host, key } => keyed::take_release(shared, key, &host),
-        ServingRequest::Settle { fate, key } => keyed::take_fate(shared, key, fate),
+        ServingRequest::Release { host, key } => idempotency::release_claim(shared, key, &host),
+        ServingRequest::Settle { fate, key } => idempotency::record_fate(shared, key, fate),
         ServingRequest::AskTrial { .. }
         | ServingRequest::Claim { .. }
         | ServingRequest::Limits { .. }
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -1,4 +1,4 @@
-//! Requests that pass through to plain services.
+//! Requests to plain services: HTTP services that aren't engines.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -10,28 +10,28 @@
 
 use crate::{
     connection::answer,
-    process::{billing::Got, shared::Shared},
+    process::{billing::AnswerUsage, shared::Shared},
     request::{
+        admitted::{AdmittedRequest, FailedAttempt},
         authorize::{self, OpenGuard},
         generation::read_body,
+        idempotency::{self, Claim, Claimed},
         journal::Step,
-        keyed::{self, Claim, Claimed},
         refusal::Refusal,
-        tries::{Failed, Tries},
         work::{self, Work},
     },
 };
 
 const KEY_HEADER: &str = "Idempotency-Key";
 
-/// Passes a request through. `rest` is the service's alias, then the path and query.
+/// Serves a request to a plain service. `rest` is the service's alias, then the path and query.
 pub(crate) fn handle(mut request: Request, rest: &str, shared: &Arc<Shared>) {
     let id = RequestId::random();
     match run(&mut request, rest, shared, id) {
         Ok(answer) => respond(request, answer, id),
         Err(refusal) => {
-            shared.serving.refused(id, &refusal);
-            answer::refuse_as(request, &refusal, id);
+            shared.serving.record_refusal(id, &refusal);
+            answer::refuse_with_id(request, &refusal, id);
         }
     }
 }
@@ -43,23 +43,29 @@
     id: RequestId,
 ) -> Result<PlainAnswer, Refusal> {
     let key = authorize::header_of(request, KEY_HEADER);
-    let keyed = key.is_some();
+    let has_key = key.is_some();
     let prepared = prepare(request, rest, shared, id);
-    // Before the homes have spoken, an earlier request with the key may have run.
-    let prepared = prepared.map_err(|refusal| if keyed { refusal.for_keyed() } else { refusal })?;
+    // Until the home hosts are asked, it is unknown whether an earlier request with the key ran.
+    let prepared = prepared.map_err(|refusal| {
+        if has_key {
+            refusal.for_keyed()
+        } else {
+            refusal
+        }
+    })?;
     let Some(key) = key else {
         return call(&prepared, shared);
     };
     let workspace = &prepared.work.caller.workspace;
-    let print = prepared.work.need.fingerprint;
-    match keyed::claim(shared, workspace, &key, print) {
+    let request_fingerprint = prepared.work.need.fingerprint;
+    match idempotency::claim(shared, workspace, &key, request_fingerprint) {
         Claimed::Answered(bytes) => decode(&bytes).ok_or_else(|| Reason::FateUnknown.into()),
         Claimed::Refused(reason) => Err(reason.into()),
         Claimed::New(claim) => call_claimed(&prepared, shared, claim),
     }
 }
 
-/// A request whose caller is known.
+/// A request that is authorized and read.
 struct Prepared {
     call: PlainCall,
     open: OpenGuard,
@@ -87,7 +93,7 @@
     let digest = authorize::digest_of(request);
     let caller = serving.keys.check(digest.as_ref(), &alias.into(), now)?;
     let open = serving.keys.open(id, digest);
-    serving.note(
+    serving.record_step(
         id,
         Step::Caller {
             service: caller.service.to_string(),
@@ -96,8 +102,9 @@
     );
     let body = read_body(request, shared)?;
     let method = request.method().to_string();
-    let print = work::fingerprint(&caller.service, &format!("{method} {path}"), &body);
-    let work = Work::new(id, caller, print, &view.configuration, now);
+    let request_fingerprint =
+        work::fingerprint(&caller.service, &format!("{method} {path}"), &body);
+    let work = Work::new(id, caller, request_fingerprint, &view.configuration, now);
     let call = PlainCall {
         body,
         headers: headers(request, id),
@@ -108,10 +115,10 @@
     Ok(Prepared { call, open, work })
 }
 
-/// Parts the service's name from the path behind it.
+/// Splits the service's name from the path behind it.
 ///
-/// A workspace's own names have no slash. An open route has no workspace, so it goes by its qualified
-/// name, which has one.
+/// A workspace's own names have no slash. An open route has no workspace, so it is called by its
+/// qualified name, which has one.
 fn split_alias<'a>(rest: &'a str, open_routes: &BTreeSet<ServiceName>) -> (&'a str, &'a str) {
     let ends = |at: usize| rest[at..].is_empty() || rest[at..].starts_with(['/', '?']);
     let open = open_routes.iter().map(ServiceName::as_str);
@@ -120,6 +127,7 @@
     rest.split_at(split.unwrap_or_else(|| rest.find(['/', '?']).unwrap_or(rest.len())))
 }
 
+/// Calls the service under a claimed idempotency key, and records the answer under the key.
 fn call_claimed(
     prepared: &Prepared,
     shared: &Arc<Shared>,
@@ -140,27 +148,29 @@
 }
 
 fn call(prepared: &Prepared, shared: &Arc<Shared>) -> Result<PlainAnswer, Refusal> {
-    let mut tries = Tries::begin(shared, prepared.work.clone())?;
+    let mut admitted = AdmittedRequest::begin(shared, prepared.work.clone())?;
     loop {
-        if prepared.open.is_cut() {
+        if prepared.open.is_withdrawn() {
             return Err(Reason::KeyWithdrawnMidway.into());
         }
-        match attempt(prepared, shared, &mut tries) {
+        match attempt(prepared, shared, &mut admitted) {
             Ok(answer) => {
-                tries.answered();
-                let got = Got {
+                admitted.answered();
+                let usage = AnswerUsage {
                     request: prepared.work.id,
                     tokens: 0,
                 };
-                shared.billing.count(shared, &prepared.work.caller, got);
+                shared
+                    .billing
+                    .record_and_wait(shared, &prepared.work.caller, usage);
                 shared
                     .serving
-                    .note(prepared.work.id, Step::Whole { tokens: 0 });
+                    .record_step(prepared.work.id, Step::Whole { tokens: 0 });
                 return Ok(answer);
             }
             Err(error) => {
                 let caller = prepared.work.need.caller;
-                tries.fail(Failed::new(&error, false, caller))?;
+                admitted.fail(FailedAttempt::new(&error, false, caller))?;
             }
         }
     }
@@ -169,18 +179,23 @@
 fn attempt(
     prepared: &Prepared,
     shared: &Arc<Shared>,
-    tries: &mut Tries,
+    admitted: &mut AdmittedRequest,
 ) -> Result<PlainAnswer, CallError> {
     let serving = &shared.serving;
     let sent = serving.now();
-    let mut paces = serving.dispatch.paces(&tries.on.target);
-    let patience = tries.work.patience(sent);
-    let client = shared.client(tries.on.address);
-    let outcome = client.call(&prepared.call, paces.first.current().min(patience));
+    let mut idle_timeouts = serving.dispatch.idle_timeouts(&admitted.assignment.target);
+    let first_timeout = admitted.work.first_byte_timeout(sent);
+    let client = shared.client(admitted.assignment.address);
+    let outcome = client.call(
+        &prepared.call,
+        idle_timeouts.first.current().min(first_timeout),
+    );
     match &outcome {
         Ok(_) => {
-            paces.first.observe(serving.now() - sent);
-            serving.dispatch.set_paces(&tries.on.target, paces);
+            idle_timeouts.first.observe(serving.now() - sent);
+            serving
+                .dispatch
+                .set_idle_timeouts(&admitted.assignment.target, idle_timeouts);
         }
         Err(CallError::Silent { .. }) => client.condemn_pooled(),
         Err(_) => {}
@@ -217,44 +232,43 @@
     }
 }
 
-// ---------------------------------------------------------------------------
-// An answer as the homes of its key keep it
-
+/// An answer as the home hosts of its idempotency key store it. The encoding reads fields by
+/// position.
 #[derive(Deserialize, Serialize)]
-struct KeptAnswer {
+struct StoredAnswer {
     body: Vec<u8>,
-    headers: Vec<KeptHeader>,
+    headers: Vec<StoredHeader>,
     status: u16,
 }
 
 #[derive(Deserialize, Serialize)]
-struct KeptHeader {
+struct StoredHeader {
     name: String,
     value: String,
 }
 
 fn encode(answer: &PlainAnswer) -> Vec<u8> {
-    let headers = answer.headers.iter().map(|header| KeptHeader {
+    let headers = answer.headers.iter().map(|header| StoredHeader {
         name: header.name.clone(),
         value: header.value.clone(),
     });
-    let kept = KeptAnswer {
+    let stored = StoredAnswer {
         body: answer.body.clone(),
         headers: headers.collect(),
         status: answer.status,
     };
-    postcard::to_stdvec(&kept).unwrap_or_default()
+    postcard::to_stdvec(&stored).unwrap_or_default()
 }
 
 fn decode(bytes: &[u8]) -> Option<PlainAnswer> {
-    let kept: KeptAnswer = postcard::from_bytes(bytes).ok()?;
-    let headers = kept.headers.into_iter().map(|header| Header {
+    let stored: StoredAnswer = postcard::from_bytes(bytes).ok()?;
+    let headers = stored.headers.into_iter().map(|header| Header {
         name: header.name,
         value: header.value,
     });
     Some(PlainAnswer {
-        body: kept.body,
+        body: stored.body,
         headers: headers.collect(),
-        status: kept.status,
+        status: stored.status,
     })
 }
