--- a/crates/godwitspool-steward/src/connection/answers.rs
+++ b/crates/godwitspool-steward/src/connection/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to entries and other stewards.
+//! Answers requests of entries and other stewards.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,19 +11,19 @@
 };
 
 /// Longest time that a view request waits for a change.
-const VIEW_WAIT: Duration = Duration::from_secs(1);
-/// Longest time that a request for the log's records waits for one.
-const TAIL_WAIT: Millis = Millis(1_000);
+const MAX_VIEW_WAIT: Duration = Duration::from_secs(1);
+/// Longest time that a request for the log's next records waits for one.
+const MAX_TAIL_WAIT: Millis = Millis(1_000);
 
 /// Answers one request.
 pub(crate) fn answer(shared: &Arc<Shared>, request: StewardRequest) -> StewardAnswer {
     match request {
-        StewardRequest::View(known) => match shared.board.wait(known, VIEW_WAIT) {
+        StewardRequest::View(known) => match shared.current_view.wait(known, MAX_VIEW_WAIT) {
             Some(view) => StewardAnswer::View(Box::new(view)),
             None => StewardAnswer::NotReady,
         },
         StewardRequest::Demand(demand) => {
-            orders::hear(shared, demand);
+            orders::record_demand(shared, demand);
             StewardAnswer::Done
         }
         StewardRequest::HeldUsage => StewardAnswer::Usage(usage::held(shared)),
@@ -32,6 +32,6 @@
             StewardAnswer::Done
         }
         StewardRequest::Snapshot => shared.reader.snapshot(),
-        StewardRequest::Tail(from) => shared.reader.tail(from, TAIL_WAIT),
+        StewardRequest::Tail(from) => shared.reader.tail(from, MAX_TAIL_WAIT),
     }
 }
--- a/crates/godwitspool-steward/src/connection/mod.rs
+++ b/crates/godwitspool-steward/src/connection/mod.rs
@@ -1,3 +1,3 @@
-//! What lives for one connection.
+//! Modules whose state lives as long as one connection.
 
 pub(crate) mod answers;
--- a/crates/godwitspool-steward/src/lib.rs
+++ b/crates/godwitspool-steward/src/lib.rs
@@ -1,14 +1,15 @@
 //! The steward daemon: leases, target orders, usage windows, weight rollout and configuration
 //! snapshots.
 //!
-//! A [`Steward`] runs on every entry host. It folds the platform's log, follows the platform's lists
-//! and gives entries the [`View`](godwitspool_connection::messages::View) that they serve by.
+//! A [`Steward`] runs on every entry host. It folds the platform's log, polls the platform's lists of
+//! targets and hosts, and serves entries the [`View`](godwitspool_connection::messages::View) that
+//! they route requests by.
 //!
-//! | module | lives for |
+//! | module | lifetime of its state |
 //! |---|---|
-//! | `connection` | one connection: what entries and other stewards ask |
-//! | `version` | one version: the view and the fold behind it |
-//! | `process` | the process: start, threads, stop |
+//! | `connection` | one connection: requests of entries and other stewards |
+//! | `version` | one version: the view, and the leases, orders, usage and weights that follow the log |
+//! | `process` | the process: start, shared state, threads, stop |
 
 mod connection;
 mod process;
--- a/crates/godwitspool-steward/src/main.rs
+++ b/crates/godwitspool-steward/src/main.rs
@@ -8,10 +8,10 @@
 const HELP: &str = "\
 godwitspool-steward SETTINGS.yaml [--check]
 
-Folds the platform's log, gives entries their view and stands for the leases.
-SIGTERM releases what is held and ends.
+Folds the platform's log, serves entries their view and competes for the leases.
+SIGTERM releases the leases and stops the steward.
 
-  --check     checks the settings and ends, with status 2 for findings
+  --check     checks the settings and exits, with status 2 if they have errors
   --help
   --version";
 
@@ -24,14 +24,14 @@
     program.run(|path| StewardSettings::load(path), serve)
 }
 
-/// Serves until a termination signal.
+/// Runs the steward until a termination signal arrives.
 fn serve(settings: StewardSettings) -> io::Result<()> {
     logs::install(settings.log).map_err(io::Error::other)?;
     let termination = Termination::watch()?;
     let steward = Steward::start(settings)?;
-    log::info!(address:% = steward.address(); "steward serves");
+    log::info!(address:% = steward.address(); "steward started");
     termination.wait();
-    log::info!("steward ends");
+    log::info!("steward is stopping");
     steward.stop();
     Ok(())
 }
--- a/crates/godwitspool-steward/src/process/mod.rs
+++ b/crates/godwitspool-steward/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for the process.
+//! Modules whose state lives as long as the process.
 
 mod operators;
 mod outbox;
--- a/crates/godwitspool-steward/src/process/operators.rs
+++ b/crates/godwitspool-steward/src/process/operators.rs
@@ -1,4 +1,4 @@
-//! What operators see: readiness and status.
+//! Readiness and status pages for operators.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 
 use crate::process::shared::{Shared, lock};
 
-/// Gives operators a look at what the threads share.
-pub(crate) struct Pages(pub(crate) Arc<Shared>);
+/// Serves operators from the state that the threads share.
+pub(crate) struct OperatorPages(pub(crate) Arc<Shared>);
 
-impl Operated for Pages {
+impl Operated for OperatorPages {
     fn readiness(&self) -> Readiness {
-        if self.0.board.age().is_some() {
+        if self.0.current_view.age().is_some() {
             Readiness::Ready
         } else {
             Readiness::NotReady("neither the log nor a peer that has it was found".to_owned())
@@ -25,13 +25,13 @@
     }
 }
 
-/// Tells the steward's state.
+/// Returns the steward's state, as shown on the status page.
 pub(crate) fn status(shared: &Shared) -> Value {
     let settings = &shared.settings;
     let mut status = json!({
         "host": settings.host,
         "dc": settings.dc,
-        "configuration_age_ms": shared.board.age().map(|age| age.as_millis() as u64),
+        "configuration_age_ms": shared.current_view.age().map(|age| age.as_millis() as u64),
         "cut_off": shared.gossip.cut_off(),
         "leases": LeaseKind::ALL.map(|kind| lease(shared, kind)),
         "appends": appends(shared),
@@ -93,15 +93,15 @@
     })
 }
 
-fn orders(book: &OrderTable) -> Value {
-    const SHOWN: usize = 10;
+fn orders(table: &OrderTable) -> Value {
+    const MAX_CLOSED: usize = 10;
     json!({
-        "open": book.open.iter().map(|open| &open.intent).collect::<Vec<_>>(),
-        "last": book.closed.iter().rev().take(SHOWN).collect::<Vec<_>>(),
+        "open": table.open.iter().map(|open| &open.intent).collect::<Vec<_>>(),
+        "last": table.closed.iter().rev().take(MAX_CLOSED).collect::<Vec<_>>(),
     })
 }
 
-fn windows(book: &WindowTable) -> Value {
+fn windows(table: &WindowTable) -> Value {
     let window = |(window, state): (&u64, &godwitspool_version::WindowState)| {
         let phase = match (&state.frozen, state.reported) {
             (_, true) => "reported",
@@ -116,7 +116,7 @@
         })
     };
     json!({
-        "last_frozen": book.last_frozen,
-        "windows": book.windows.iter().map(window).collect::<Vec<_>>(),
+        "last_frozen": table.last_frozen,
+        "windows": table.windows.iter().map(window).collect::<Vec<_>>(),
     })
 }
--- a/crates/godwitspool-steward/src/process/outbox.rs
+++ b/crates/godwitspool-steward/src/process/outbox.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the log.
+//! Records that wait to be appended to the log.
 
 use std::{
     collections::BTreeMap,
@@ -11,32 +11,32 @@
 
 use crate::process::shared::{Shared, lock};
 
-/// Records that wait to be appended, each stream within its budget.
+/// Queues of records to append, one per stream, each with an append budget.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     budget: Mutex<AppendBudget>,
 }
 
 impl Outbox {
-    /// Queues a record; false when too many of its stream wait.
+    /// Queues a record. Returns false if the queue of its stream is full.
     pub(crate) fn offer(&self, record: Record) -> bool {
         lock(&self.budget).offer(record)
     }
 
-    /// Returns what became of each stream's records.
+    /// Returns the numbers of appended, refused and waiting records of each stream.
     pub(crate) fn counts(&self) -> BTreeMap<Stream, AppendCounts> {
         lock(&self.budget).counts()
     }
 }
 
-/// Appends what the budget lets go, until the timer ends.
+/// Appends queued records at each tick until the timer stops.
 pub(crate) fn run(shared: &Arc<Shared>, ticks: &Receiver<Tick>) {
     while ticks.recv().is_ok() {
         flush(shared);
     }
 }
 
-/// Appends what the budget lets go now.
+/// Appends the queued records that the budget allows now, in one call.
 pub(crate) fn flush(shared: &Shared) {
     let batch = lock(&shared.outbox.budget).take_batch(shared.clock.now());
     if batch.is_empty() {
@@ -57,15 +57,15 @@
                 godwitspool_types::Ran::NotRun => "refused",
                 _ => "answer-lost",
             });
-            log::warn!(records = batch.len(); "not appended: {error}");
-            offer_again(shared, batch);
+            log::warn!(records = batch.len(); "records not appended to the log: {error}");
+            requeue(shared, batch);
         }
     }
 }
 
-/// Queues records again under the same identities, so a second copy is harmless. Lease steps and
-/// snapshots are made anew by those who want them.
-fn offer_again(shared: &Shared, batch: Vec<Record>) {
+/// Queues records again after a failed append. They keep their identities, so a second copy has no
+/// effect. Lease and snapshot records are dropped, because their authors create new ones.
+fn requeue(shared: &Shared, batch: Vec<Record>) {
     for record in batch {
         match Stream::of(&record.body) {
             Stream::Lease | Stream::Snapshot => {}
--- a/crates/godwitspool-steward/src/process/shared.rs
+++ b/crates/godwitspool-steward/src/process/shared.rs
@@ -1,4 +1,4 @@
-//! What the steward's threads share.
+//! State that the steward's threads share.
 
 use std::{
     collections::HashMap,
@@ -19,18 +19,19 @@
 
 use crate::{
     process::outbox::Outbox,
-    version::{board::Board, leases::Leases},
+    version::{current_view::CurrentView, leases::Leases},
 };
 
-const PEER_ANSWER: Millis = Millis(500);
+const PEER_TIMEOUT: Millis = Millis(500);
+/// Number of links to other stewards at which all are closed before another one is opened.
 const MAX_LINKS: usize = 64;
 
-/// What the steward's threads share.
+/// State that the steward's threads share.
 pub(crate) struct Shared {
-    pub(crate) board: Board,
+    pub(crate) current_view: CurrentView,
     pub(crate) clock: Clock,
     pub(crate) counts: Counts,
-    pub(crate) demands: Mutex<HashMap<HostName, Heard>>,
+    pub(crate) demands: Mutex<HashMap<HostName, ReportedDemand>>,
     pub(crate) gossip: Arc<Gossip>,
     pub(crate) leases: Leases,
     links: Mutex<HashMap<SocketAddr, Arc<PeerLink>>>,
@@ -44,29 +45,30 @@
 
 type PeerLink = Link<StewardRequest, StewardAnswer>;
 
-/// An entry's demand and when it came.
+/// The last demand that an entry reported.
 #[derive(Clone, Debug)]
-pub(crate) struct Heard {
-    pub(crate) at: Millis,
+pub(crate) struct ReportedDemand {
+    /// Time of arrival on this host's clock.
+    pub(crate) received: Millis,
     pub(crate) demand: Demand,
 }
 
-/// Counters by reason.
+/// Counters by reason, exported as metrics.
 #[derive(Debug)]
 pub(crate) struct Counts {
-    /// Appends that failed.
+    /// Appends that failed, by reason.
     pub(crate) append_errors: Reasons,
     /// Records appended, by stream.
     pub(crate) appends: Reasons,
     /// Terms begun and ended on this host.
     pub(crate) lease_steps: Reasons,
-    /// Target orders, by how they ended.
+    /// Attempts to send a target order, by result.
     pub(crate) orders: Reasons,
-    /// Usage reports, by how they ended.
+    /// Attempts to report a usage window, by result.
     pub(crate) reports: Reasons,
-    /// Weight swaps, by how they ended.
+    /// Weight swaps and what followed from them, by result.
     pub(crate) swaps: Reasons,
-    /// Usage records, by what became of them.
+    /// Usage records and the calls that copy or gather them, by result.
     pub(crate) usage: Reasons,
 }
 
@@ -84,7 +86,7 @@
     }
 }
 
-/// What `Shared` is made of, beside what starts empty.
+/// Parts of [`Shared`] that don't start empty.
 pub(crate) struct Parts<'a> {
     pub(crate) clock: Clock,
     pub(crate) gossip: Arc<Gossip>,
@@ -98,7 +100,7 @@
 impl Shared {
     pub(crate) fn new(parts: Parts<'_>) -> Self {
         Self {
-            board: Board::default(),
+            current_view: CurrentView::default(),
             clock: parts.clock,
             counts: Counts::new(parts.metrics),
             demands: Mutex::default(),
@@ -114,19 +116,20 @@
         }
     }
 
-    /// Queues a record for the log.
+    /// Queues a record for the log under a new identity.
     pub(crate) fn append(&self, body: RecordBody) {
         self.append_record(Record::new(body));
     }
 
-    /// Queues a record for the log under the identity that it has.
+    /// Queues a record for the log. It keeps its identity. If the queue is full, the record is dropped
+    /// and counted.
     pub(crate) fn append_record(&self, record: Record) {
         if !self.outbox.offer(record) {
             self.counts.append_errors.count("queue-full");
         }
     }
 
-    /// Asks another steward.
+    /// Sends a request to another steward and waits for the answer.
     pub(crate) fn ask(
         &self,
         address: SocketAddr,
@@ -140,7 +143,7 @@
         if links.len() >= MAX_LINKS && !links.contains_key(&address) {
             links.clear();
         }
-        let bounds = LinkBounds::default().with_answer(PEER_ANSWER);
+        let bounds = LinkBounds::default().with_answer(PEER_TIMEOUT);
         let link = links
             .entry(address)
             .or_insert_with(|| Arc::new(Link::new(address, bounds)));
@@ -148,7 +151,7 @@
     }
 }
 
-/// Locks; what a panicked thread left is used as it is.
+/// Locks a mutex. If a thread panicked while it held the lock, the data is used as it is.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/godwitspool-steward/src/process/steward.rs
+++ b/crates/godwitspool-steward/src/process/steward.rs
@@ -29,7 +29,7 @@
 use crate::{
     connection::answers,
     process::{
-        operators::{self, Pages},
+        operators::{self, OperatorPages},
         outbox,
         shared::{Parts, Shared},
     },
@@ -42,14 +42,15 @@
 const ORDER_PERIOD: Millis = Millis(200);
 const USAGE_PERIOD: Millis = Millis(200);
 const WEIGHT_PERIOD: Millis = Millis(50);
-const BIND_ATTEMPTS: usize = 16;
-/// Renewals in a term, so that two may be lost.
-const RENEWALS_IN_TERM: u64 = 4;
+/// Number of times that another system-assigned port is tried.
+const MAX_BIND_RETRIES: usize = 16;
+/// Renewals per term: with 4, two consecutive ones may be lost.
+const RENEWALS_PER_TERM: u64 = 4;
 
 /// A running steward daemon.
 ///
-/// Dropping it ends it without a word to others, as a process that dies. [`Steward::stop`] gives up
-/// what it holds first.
+/// Dropping it stops its threads without notifying other hosts, as a crash would. [`Steward::stop`]
+/// releases the leases first.
 pub struct Steward {
     address: SocketAddr,
     events: Sender<leases::Event>,
@@ -69,11 +70,11 @@
 }
 
 impl Steward {
-    /// Binds the steward's addresses and starts to follow the platform.
+    /// Binds the steward's addresses and starts its threads.
     ///
     /// # Errors
     ///
-    /// An address can't be bound, or no thread can be started.
+    /// If an address can't be bound or a thread can't be started.
     pub fn start(settings: StewardSettings) -> io::Result<Self> {
         let (listener, socket) = bind(settings.steward)?;
         let address = listener.local_addr()?;
@@ -84,7 +85,7 @@
             host: settings.host.clone(),
             incarnation: incarnation(),
         };
-        let (events, heard) = mpsc::channel::<leases::Event>();
+        let (events, event_receiver) = mpsc::channel::<leases::Event>();
         timer.every(LEASE_PERIOD, events.clone());
         let own = MemberRecord::default()
             .with_host(settings.host.clone(), settings.dc.clone())
@@ -118,7 +119,7 @@
             let handler = move |request| answers::answer(&shared, request);
             Server::start(listener, ServeBounds::default(), handler)?
         };
-        let pages = Arc::new(Pages(Arc::clone(&shared)));
+        let pages = Arc::new(OperatorPages(Arc::clone(&shared)));
         let operators = OperatorHttp::start(operators, metrics, pages)?;
         let mut steward = Self {
             address,
@@ -129,7 +130,7 @@
             threads: Vec::new(),
             timer: Some(timer),
         };
-        steward.spawn("leases", move |shared| leases::run(shared, &heard))?;
+        steward.spawn("leases", move |shared| leases::run(shared, &event_receiver))?;
         steward.spawn_ticked("append", APPEND_PERIOD, outbox::run)?;
         steward.spawn_ticked("lists", LIST_PERIOD, lists::run)?;
         steward.spawn_ticked("orders", ORDER_PERIOD, orders::run)?;
@@ -138,7 +139,7 @@
         Ok(steward)
     }
 
-    /// Returns the address on which entries and other stewards are answered.
+    /// Returns the address at which entries and other stewards connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -148,12 +149,12 @@
         self.operators.address()
     }
 
-    /// Tells the steward's state, as on its status page.
+    /// Returns the steward's state, as shown on its status page.
     pub fn status(&self) -> Value {
         operators::status(&self.shared)
     }
 
-    /// Gives up the leases, tells the other hosts and ends.
+    /// Notifies the other hosts, releases the leases and stops.
     pub fn stop(self) {
         self.shared.gossip.leave();
         leases::leave(&self.shared);
@@ -192,34 +193,33 @@
         if let Some(server) = self.server.take() {
             server.stop();
         }
-        // The ticking threads end with their timer.
+        // Threads that wait for ticks end when their timer is dropped.
         drop(self.timer.take());
-        // A lease thread that has ended already needs no word.
+        // Sending fails only if the lease thread has already ended.
         drop(self.events.send(leases::Event::Stop));
         for thread in self.threads.drain(..) {
-            // A panicked thread has nothing left to stop.
+            // An error means that the thread panicked, so it has ended too.
             drop(thread.join());
         }
     }
 }
 
-// ---
-
-/// Binds TCP and UDP to the same address; a port that is left to the system may be taken for one of
-/// them.
+/// Binds TCP and UDP to the same address. With port 0 the system chooses a free TCP port, which may
+/// be in use for UDP; then another port is tried.
 fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
     let mut attempt = 0;
     loop {
         let listener = TcpListener::bind(address)?;
         match UdpSocket::bind(listener.local_addr()?) {
             Ok(socket) => return Ok((listener, socket)),
-            Err(error) if address.port() != 0 || attempt == BIND_ATTEMPTS => return Err(error),
+            Err(error) if address.port() != 0 || attempt == MAX_BIND_RETRIES => return Err(error),
             Err(_) => attempt += 1,
         }
     }
 }
 
-/// Tells this life from earlier ones of the host, which began earlier.
+/// Returns the start time in milliseconds since 1970, which is higher than in earlier runs on this
+/// host.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation(since.map_or(0, |since| since.as_millis() as u64))
@@ -227,12 +227,12 @@
 
 fn lease_rules(settings: &StewardSettings) -> LeaseRules {
     let term = settings.term;
-    // Two clocks, each off by the drift, over the longest wait.
+    // Over a term, each of two clocks may deviate by the drift.
     let margin = term.0 * u64::from(settings.drift_permille) * 2 / 1_000;
     LeaseRules {
         clock_margin: Millis(margin.max(1)),
         order_timeout: Millis(term.0 / 3),
-        renewal_interval: Millis(term.0 / RENEWALS_IN_TERM),
+        renewal_interval: Millis(term.0 / RENEWALS_PER_TERM),
         duration: term,
     }
 }
--- a/crates/godwitspool-steward/src/version/leases.rs
+++ b/crates/godwitspool-steward/src/version/leases.rs
@@ -1,4 +1,4 @@
-//! This host's part in each lease.
+//! This host's candidacy for each lease.
 
 use std::{
     collections::BTreeMap,
@@ -19,9 +19,10 @@
 
 use crate::process::shared::{Shared, lock};
 
-const MAX_RANK_WAIT: u64 = 400;
+/// Upper bound of the time by which candidates spread their claims of an expired lease.
+const MAX_CLAIM_DELAY_MS: u64 = 400;
 
-/// This host's candidates, one for each lease.
+/// This host's candidates, one per lease.
 #[derive(Debug)]
 pub(crate) struct Leases {
     candidates: Mutex<BTreeMap<LeaseKind, LeaseCandidate>>,
@@ -34,8 +35,8 @@
         let candidate = |kind: LeaseKind| {
             let mut candidate = LeaseCandidate::new(kind, life.clone(), rules);
             let text = format!("{}/{}/{}", kind.as_str(), life.host, life.incarnation.0);
-            let rank = rapidhash_v3(text.as_bytes()) % MAX_RANK_WAIT;
-            candidate.set_claim_delay(Millis(rank));
+            let delay = rapidhash_v3(text.as_bytes()) % MAX_CLAIM_DELAY_MS;
+            candidate.set_claim_delay(Millis(delay));
             (kind, candidate)
         };
         Self {
@@ -45,20 +46,19 @@
         }
     }
 
-    /// Returns the term if this host may act under the lease at this moment. Call it last before the
-    /// act.
+    /// Returns the term if this host may act under the lease now. Call it immediately before acting.
     pub(crate) fn may_act(&self, kind: LeaseKind) -> Option<Term> {
         let candidates = lock(&self.candidates);
-        // The time is read behind the lock, since waiting for the lock takes time too.
+        // Reads the clock after taking the lock, because waiting for the lock takes time.
         candidates[&kind].may_act(self.clock.now())
     }
 
-    /// Returns a lease as this host has read it.
+    /// Returns the state of a lease according to the records that this host has read.
     pub(crate) fn lease(&self, kind: LeaseKind) -> Lease {
         lock(&self.candidates)[&kind].lease().clone()
     }
 
-    /// Takes an event to every candidate and returns what they want done.
+    /// Passes an event to every candidate and returns their actions.
     fn decide(&self, event: LeaseEvent<'_>, now: Millis) -> Vec<(LeaseKind, LeaseAction)> {
         let mut candidates = lock(&self.candidates);
         candidates
@@ -70,14 +70,15 @@
             .collect()
     }
 
-    fn restart_from(&self, replica: &Replica, now: Millis) {
+    /// Sets every candidate's lease from a replica that was restored from a snapshot.
+    fn restore_from(&self, replica: &Replica, now: Millis) {
         for (kind, candidate) in lock(&self.candidates).iter_mut() {
             candidate.restore(replica.fold().lease(*kind), now);
         }
     }
 }
 
-/// Something that the lease thread hears.
+/// An input of the lease thread.
 #[derive(Debug)]
 pub(crate) enum Event {
     Log(LogEvent),
@@ -104,30 +105,31 @@
     }
 }
 
-/// Feeds the candidates and the board from the log, until told to stop.
+/// Passes log events and ticks to the candidates and keeps the view up to date until
+/// [`Event::Stop`].
 pub(crate) fn run(shared: &Arc<Shared>, events: &Receiver<Event>) {
     let mut confirmed = None;
     while let Ok(event) = events.recv() {
         let now = shared.clock.now();
         match event {
             Event::Stop => return,
-            Event::Members => shared.board.set_members(shared.gossip.members()),
-            Event::Log(LogEvent::Applied(applied)) => read(shared, &applied, now),
+            Event::Members => shared.current_view.set_members(shared.gossip.members()),
+            Event::Log(LogEvent::Applied(applied)) => handle_records(shared, &applied, now),
             Event::Log(LogEvent::Restored) => {
                 shared
                     .reader
-                    .read(|replica| shared.leases.restart_from(replica, now));
-                refresh(shared);
+                    .read(|replica| shared.leases.restore_from(replica, now));
+                refresh_view(shared);
             }
             Event::Log(LogEvent::Confirmed(at)) => {
                 confirmed = Some(at);
-                refresh(shared);
-                shared.board.confirm(now - at);
+                refresh_view(shared);
+                shared.current_view.confirm(now - at);
             }
             Event::Tick => {
-                // A host that doesn't read the log can't know whether it would be the next holder.
+                // A host that hasn't read the log recently can't know whether the lease is free.
                 let ready = confirmed.is_some_and(|at| now - at < shared.leases.rules.duration);
-                carry_out(
+                execute(
                     shared,
                     shared.leases.decide(LeaseEvent::Tick { ready }, now),
                 );
@@ -136,13 +138,13 @@
     }
 }
 
-/// Gives up what is held, so that others needn't wait for the terms' end.
+/// Releases the leases, so that other hosts needn't wait for the terms to expire.
 pub(crate) fn leave(shared: &Shared) {
     let actions = shared.leases.decide(LeaseEvent::Leave, shared.clock.now());
-    carry_out(shared, actions);
+    execute(shared, actions);
 }
 
-fn read(shared: &Shared, applied: &[Applied], now: Millis) {
+fn handle_records(shared: &Shared, applied: &[Applied], now: Millis) {
     for Applied { change, offset } in applied {
         if let Change::Lease { id, record } = change {
             let event = LeaseEvent::Read {
@@ -150,19 +152,19 @@
                 offset: *offset,
                 record,
             };
-            carry_out(shared, shared.leases.decide(event, now));
+            execute(shared, shared.leases.decide(event, now));
         }
     }
-    refresh(shared);
+    refresh_view(shared);
 }
 
-fn refresh(shared: &Shared) {
+fn refresh_view(shared: &Shared) {
     shared
         .reader
-        .read(|replica| shared.board.set_fold(replica.fold()));
+        .read(|replica| shared.current_view.set_fold(replica.fold()));
 }
 
-fn carry_out(shared: &Shared, actions: Vec<(LeaseKind, LeaseAction)>) {
+fn execute(shared: &Shared, actions: Vec<(LeaseKind, LeaseAction)>) {
     for (kind, action) in actions {
         match action {
             LeaseAction::Append { id, record } => shared.append_record(Record {
--- a/crates/godwitspool-steward/src/version/lists.rs
+++ b/crates/godwitspool-steward/src/version/lists.rs
@@ -1,4 +1,5 @@
-//! Follows the platform's lists and writes snapshots before retention passes.
+//! Polls the platform's lists of targets and hosts, and writes snapshots before the log removes the
+//! records that they include.
 
 use std::sync::{Arc, mpsc::Receiver};
 
@@ -9,30 +10,33 @@
 
 use crate::process::shared::{Shared, lock};
 
-const PART_BYTES: usize = 64 << 10;
-/// Time in which a snapshot's parts come back through the log.
-const SNAPSHOT_WAIT: Millis = Millis(10_000);
+/// Maximum size of the text in one record of a snapshot.
+const MAX_SNAPSHOT_PART_BYTES: usize = 64 << 10;
+/// Minimum time between snapshots, so that the parts of one have been read back from the log before
+/// the next one is considered.
+const MIN_SNAPSHOT_INTERVAL: Millis = Millis(10_000);
 
-/// Follows the lists until the timer ends.
+/// Polls the lists at each tick until the timer stops.
 pub(crate) fn run(shared: &Arc<Shared>, ticks: &Receiver<Tick>) {
     let mut written = shared.clock.now();
     while let Ok(tick) = ticks.recv() {
         match shared.platform.targets() {
-            Ok(list) => shared.board.set_targets(list.targets),
-            Err(error) => log::warn!("list of targets is not read: {error}"),
+            Ok(list) => shared.current_view.set_targets(list.targets),
+            Err(error) => log::warn!("list of targets not read: {error}"),
         }
         match shared.platform.hosts() {
             Ok(list) => shared.gossip.listed(list.hosts),
-            Err(error) => log::warn!("list of hosts is not read: {error}"),
+            Err(error) => log::warn!("list of hosts not read: {error}"),
         }
-        shared.board.set_members(shared.gossip.members());
+        shared.current_view.set_members(shared.gossip.members());
         if shared.leases.may_act(LeaseKind::Usage).is_some() {
             write_snapshot(shared, &mut written, tick.now);
         }
     }
 }
 
-/// Writes a snapshot if one is due. The holder of the usage lease does so, to have one writer.
+/// Writes a snapshot if one is due. Only the holder of the usage lease calls this, so that there is
+/// one writer.
 fn write_snapshot(shared: &Shared, written: &mut Millis, now: Millis) {
     let (end, snapshot) = shared.reader.read(|replica| {
         let fold = replica.fold();
@@ -48,11 +52,13 @@
         written: *written,
     };
     let is_new = snapshot.is_none_or(|last| end.0 > last.0 + u64::from(end > Offset(0)));
-    if is_new && now - *written >= SNAPSHOT_WAIT && SnapshotCadence::default().is_due(position, now)
+    if is_new
+        && now - *written >= MIN_SNAPSHOT_INTERVAL
+        && SnapshotCadence::default().is_due(position, now)
     {
         let records = shared
             .reader
-            .read(|replica| snapshot_records(replica.fold(), PART_BYTES));
+            .read(|replica| snapshot_records(replica.fold(), MAX_SNAPSHOT_PART_BYTES));
         for record in records {
             shared.append_record(record);
         }
--- a/crates/godwitspool-steward/src/version/mod.rs
+++ b/crates/godwitspool-steward/src/version/mod.rs
@@ -1,6 +1,6 @@
-//! What lives for one version.
+//! Modules whose state follows the versions of the log.
 
-pub(crate) mod board;
+pub(crate) mod current_view;
 pub(crate) mod leases;
 pub(crate) mod lists;
 pub(crate) mod orders;
--- a/crates/godwitspool-steward/src/version/orders.rs
+++ b/crates/godwitspool-steward/src/version/orders.rs
@@ -1,4 +1,5 @@
-//! Target orders: from demand to intent, and from intent to outcome.
+//! Target orders: the demand of the entries leads to intents in the log, and the lease holder sends
+//! them to the platform and appends their outcomes.
 
 use std::sync::{Arc, mpsc::Receiver};
 
@@ -15,67 +16,72 @@
     TargetAction, TargetPhase,
 };
 
-use crate::process::shared::{Heard, Shared, lock};
+use crate::process::shared::{ReportedDemand, Shared, lock};
 
-/// Age at which an entry's demand no longer counts.
-const DEMAND_AGE: Millis = Millis(5_000);
-/// Time between passing the own entry's demand on to the holder.
-const PASS_ON: Millis = Millis(500);
+/// Age at which an entry's demand is discarded.
+const MAX_DEMAND_AGE: Millis = Millis(5_000);
+/// Time between two times that the own entry's demand is forwarded to the lease holder.
+const DEMAND_FORWARD_INTERVAL: Millis = Millis(500);
 
-/// Decides and gives target orders until the timer ends.
+/// Decides and sends target orders at each tick until the timer stops.
 pub(crate) fn run(shared: &Arc<Shared>, ticks: &Receiver<Tick>) {
     let bounds = PlatformBounds {
         call: shared.leases.rules.order_timeout,
         ..PlatformBounds::default()
     };
     let platform = Platform::with_bounds(shared.settings.platform.clone(), bounds);
-    let mut desk = OrderDispatcher::new(OrderTimes::default());
+    let mut dispatcher = OrderDispatcher::new(OrderTimes::default());
     let mut scaling = Scaling::new(ScalingRules::default());
-    let mut passed = Millis::ZERO;
+    let mut forwarded = Millis::ZERO;
     while let Ok(Tick { now }) = ticks.recv() {
-        if now - passed >= PASS_ON {
-            pass_demand_on(shared);
-            passed = now;
+        if now - forwarded >= DEMAND_FORWARD_INTERVAL {
+            forward_demand(shared);
+            forwarded = now;
         }
-        if shared.board.age().is_none() {
+        if shared.current_view.age().is_none() {
             continue;
         }
-        let (configuration, book) = shared.reader.read(|replica| {
+        let (configuration, table) = shared.reader.read(|replica| {
             let fold = replica.fold();
             (Arc::clone(fold.configuration()), fold.orders().clone())
         });
-        scale(shared, &mut scaling, &configuration, &book, now);
+        scale(shared, &mut scaling, &configuration, &table, now);
         let term = shared.leases.may_act(LeaseKind::Orders);
-        for step in desk.decide(&book, term, now) {
+        for step in dispatcher.decide(&table, term, now) {
             match step {
-                OrderStep::Send(intent) => give(shared, &platform, &intent),
-                OrderStep::Revoke(order) => close(shared, order, OrderOutcome::Revoked),
+                OrderStep::Send(intent) => send_order(shared, &platform, &intent),
+                OrderStep::Revoke(order) => append_outcome(shared, order, OrderOutcome::Revoked),
             }
         }
     }
 }
 
-/// Follows the policy; the holder writes what it wants as intents.
+/// Runs the scaling policy. Only the lease holder appends the resulting orders as intents.
 fn scale(
     shared: &Shared,
     scaling: &mut Scaling,
     configuration: &Configuration,
-    book: &OrderTable,
+    table: &OrderTable,
     now: Millis,
 ) {
     let loads = loads(shared, now);
-    let targets = shared.board.targets().iter().map(seen).collect::<Vec<_>>();
+    let targets = shared
+        .current_view
+        .targets()
+        .iter()
+        .map(observed)
+        .collect::<Vec<_>>();
     let view = ScalingView {
         configuration,
         loads: &loads,
-        orders: book,
+        orders: table,
         targets: &targets,
     };
-    let wanted = scaling.decide(view, now);
+    let proposed = scaling.decide(view, now);
     let Some(term) = shared.leases.may_act(LeaseKind::Orders) else {
         return;
     };
-    for order in wanted {
+    for order in proposed {
         log::info!(
             dc:% = order.dc, class:% = order.class, reason:? = order.reason, action:? = order.action;
             "order decided"
@@ -91,8 +97,9 @@
     }
 }
 
-/// Gives an order. The lease is checked once more before the order's last byte is sent.
-fn give(shared: &Shared, platform: &Platform, intent: &OrderIntent) {
+/// Sends an order to the platform. The lease is checked once more before the order's last byte is
+/// sent.
+fn send_order(shared: &Shared, platform: &Platform, intent: &OrderIntent) {
     let Some(term) = shared.leases.may_act(LeaseKind::Orders) else {
         return;
     };
@@ -102,13 +109,13 @@
     match platform.order(&order, &may_send) {
         Ok(OrderAnswer::Done(names)) => {
             counts.count("done");
-            close(shared, intent.order, OrderOutcome::Done(names));
+            append_outcome(shared, intent.order, OrderOutcome::Done(names));
         }
         Ok(OrderAnswer::NoneAvailable) => {
             counts.count("none-available");
-            close(shared, intent.order, OrderOutcome::NoneAvailable);
+            append_outcome(shared, intent.order, OrderOutcome::NoneAvailable);
         }
-        // Another host is in charge; it finishes the order.
+        // Another host holds the lease and finishes the order.
         Ok(OrderAnswer::Fenced(_)) => counts.count("fenced"),
         Err(PlatformError::Withheld { .. }) => counts.count("withheld"),
         Err(error) => {
@@ -116,12 +123,12 @@
                 PlatformError::Unknown { .. } => "answer-lost",
                 _ => "not-run",
             });
-            log::warn!("order not given: {error}");
+            log::warn!("order not acknowledged by the platform: {error}");
         }
     }
 }
 
-fn close(shared: &Shared, order: OrderId, outcome: OrderOutcome) {
+fn append_outcome(shared: &Shared, order: OrderId, outcome: OrderOutcome) {
     shared.append(RecordBody::OrderOutcome { order, outcome });
 }
 
@@ -139,7 +146,7 @@
     }
 }
 
-fn seen(entry: &TargetEntry) -> ObservedTarget {
+fn observed(entry: &TargetEntry) -> ObservedTarget {
     ObservedTarget {
         class: entry.class.clone(),
         dc: entry.dc.clone(),
@@ -152,23 +159,21 @@
     }
 }
 
-// --- Demand
-
-/// Takes an entry's demand.
-pub(crate) fn hear(shared: &Shared, demand: Demand) {
-    let heard = Heard {
-        at: shared.clock.now(),
+/// Stores the demand that an entry reported, in place of its previous one.
+pub(crate) fn record_demand(shared: &Shared, demand: Demand) {
+    let reported = ReportedDemand {
+        received: shared.clock.now(),
         demand,
     };
-    lock(&shared.demands).insert(heard.demand.host.clone(), heard);
+    lock(&shared.demands).insert(reported.demand.host.clone(), reported);
 }
 
-/// Tells the holder what the own entry needs.
-fn pass_demand_on(shared: &Shared) {
+/// Sends the own entry's demand to the lease holder, unless this host is the holder.
+fn forward_demand(shared: &Shared) {
     let own = &shared.settings.host;
     let demand = lock(&shared.demands)
         .get(own)
-        .map(|heard| heard.demand.clone());
+        .map(|reported| reported.demand.clone());
     let holder = shared.leases.lease(LeaseKind::Orders).holder;
     let (Some(demand), Some(holder)) = (demand, holder) else {
         return;
@@ -184,11 +189,11 @@
         return;
     };
     if let Err(error) = shared.ask(member.steward, &StewardRequest::Demand(demand)) {
-        log::debug!("demand not passed on: {error}");
+        log::debug!("demand not forwarded: {error}");
     }
 }
 
-/// Adds the demand of the entries up by data centre and service.
+/// Sums the entries' demand by data centre and service.
 fn loads(shared: &Shared, now: Millis) -> Vec<ServiceLoad> {
     let members = shared.gossip.members();
     let dc_of = |host: &HostName| {
@@ -196,11 +201,11 @@
         Some(member.dc.clone())
     };
     let mut demands = lock(&shared.demands);
-    demands.retain(|_, heard| now - heard.at < DEMAND_AGE);
+    demands.retain(|_, reported| now - reported.received < MAX_DEMAND_AGE);
     let mut loads = Vec::<ServiceLoad>::new();
-    for heard in demands.values() {
-        if let Some(dc) = dc_of(&heard.demand.host) {
-            add_demand(&mut loads, &dc, &heard.demand);
+    for reported in demands.values() {
+        if let Some(dc) = dc_of(&reported.demand.host) {
+            add_demand(&mut loads, &dc, &reported.demand);
         }
     }
     loads
@@ -208,10 +213,10 @@
 
 fn add_demand(loads: &mut Vec<ServiceLoad>, dc: &Dc, demand: &Demand) {
     for service in &demand.services {
-        let at = loads
+        let index = loads
             .iter()
             .position(|load| load.dc == *dc && load.service == service.service);
-        let at = at.unwrap_or_else(|| {
+        let index = index.unwrap_or_else(|| {
             loads.push(ServiceLoad {
                 dc: dc.clone(),
                 service: service.service.clone(),
@@ -219,7 +224,7 @@
             });
             loads.len() - 1
         });
-        loads[at].interactive += service.interactive + service.waiting;
-        loads[at].training += service.training + service.backlog;
+        loads[index].interactive += service.interactive + service.waiting;
+        loads[index].training += service.training + service.backlog;
     }
 }
--- a/crates/godwitspool-steward/src/version/usage.rs
+++ b/crates/godwitspool-steward/src/version/usage.rs
@@ -1,4 +1,4 @@
-//! Usage: held by three hosts, sealed by data centre, frozen and reported.
+//! Usage records: held by three hosts, sealed per data centre, then frozen and reported per window.
 
 use std::{
     sync::{Arc, mpsc::Receiver},
@@ -20,81 +20,82 @@
 
 use crate::process::shared::{Shared, lock};
 
-/// Other hosts that hold a usage record before the entry may end its answer.
-const COPIES: usize = 2;
-/// Time after a window's end in which its last records arrive.
-const GRACE: Duration = Duration::from_millis(500);
-/// Time between attempts to seal, freeze or report the same window.
-const RETRY: Millis = Millis(1_000);
-/// Windows for which a data centre's seal is waited for.
-const PATIENCE_WINDOWS: u64 = 60;
-/// Windows after which any data centre seals a record that its own has not.
-const ORPHAN_WINDOWS: u64 = 2;
-const MAX_SEALED_AT_ONCE: u64 = 4;
+/// Number of other hosts to which a usage record is copied before the entry ends its answer.
+const REMOTE_COPIES: usize = 2;
+/// Time after a window's end in which its last records may still arrive.
+const WINDOW_GRACE: Duration = Duration::from_millis(500);
+/// Time between attempts to seal, freeze and report windows.
+const RETRY_INTERVAL: Millis = Millis(1_000);
+/// Number of windows after which a window is frozen without the seal of a data centre.
+const SEAL_WAIT_WINDOWS: u64 = 60;
+/// Number of windows after which any data centre seals a record that its own one has not sealed.
+const ORPHAN_AGE_WINDOWS: u64 = 2;
+/// Number of windows before the current one that are still sealed.
+const MAX_SEAL_BACKLOG_WINDOWS: u64 = 4;
 
-/// Seals, freezes and reports until the timer ends.
+/// Seals, freezes and reports windows until the timer stops.
 pub(crate) fn run(shared: &Arc<Shared>, ticks: &Receiver<Tick>) {
     let mut next = Millis::ZERO;
     while let Ok(Tick { now }) = ticks.recv() {
-        if now < next || shared.board.age().is_none() {
+        if now < next || shared.current_view.age().is_none() {
             continue;
         }
-        next = now + RETRY;
-        let book = shared
+        next = now + RETRY_INTERVAL;
+        let table = shared
             .reader
             .read(|replica| replica.fold().windows().clone());
-        lock(&shared.usage).forget_covered(&book.coverage);
-        seal(shared, &book);
-        lead(shared, &book);
+        lock(&shared.usage).forget_covered(&table.coverage);
+        seal(shared, &table);
+        freeze_and_report(shared, &table);
     }
 }
 
-// --- Holding
-
-/// Holds an entry's records; those of the own entry are held by other hosts too before this returns.
+/// Stores an entry's records. Records of the own entry are also copied to other hosts before this
+/// returns; a shortage of copies is only counted.
 pub(crate) fn hold(shared: &Shared, records: Vec<UsageRecord>) {
-    take(shared, &records);
+    store(shared, &records);
     let own = &shared.settings.host;
     if records.iter().all(|record| record.host != *own) {
         return;
     }
     let request = StewardRequest::HoldUsage(records);
     let mut copies = 0;
-    for peer in keepers(shared) {
+    for peer in copy_candidates(shared) {
         match shared.ask(peer.steward, &request) {
             Ok(StewardAnswer::Done) => copies += 1,
             Ok(_) | Err(_) => shared.counts.usage.count("copy-failed"),
         }
-        if copies == COPIES {
+        if copies == REMOTE_COPIES {
             return;
         }
     }
     shared.counts.usage.count("too-few-copies");
 }
 
-/// Returns the records that are held here.
+/// Returns the records that this host holds.
 pub(crate) fn held(shared: &Shared) -> Vec<UsageRecord> {
     lock(&shared.usage).all().map(wire_record).collect()
 }
 
-fn take(shared: &Shared, records: &[UsageRecord]) {
+fn store(shared: &Shared, records: &[UsageRecord]) {
     let now = shared.clock.now();
     shared.reader.read(|replica| {
         let coverage = &replica.fold().windows().coverage;
         let mut held = lock(&shared.usage);
         for record in records {
-            let taken = held.hold(request_usage(record), coverage, now);
-            let reason = if taken { "held" } else { "known" };
+            let is_new = held.hold(request_usage(record), coverage, now);
+            let reason = if is_new { "held" } else { "known" };
             shared.counts.usage.count(reason);
         }
     });
 }
 
-/// Lists hosts to hold copies: first one of the own data centre, then one of another, then the rest.
-fn keepers(shared: &Shared) -> Vec<Member> {
+/// Lists hosts to which records are copied: first one in the own data centre, then one in another,
+/// then the rest.
+fn copy_candidates(shared: &Shared) -> Vec<Member> {
     let mut others = shared.gossip.members();
     others.retain(|member| member.host != shared.settings.host && !member.leaving);
-    others.sort_by_key(|member| weight(&shared.settings.host, &member.host));
+    others.sort_by_key(|member| pair_hash(&shared.settings.host, &member.host));
     let is_near = |member: &&Member| member.dc == shared.settings.dc;
     let near = others.iter().position(|member| is_near(&member));
     let far = others.iter().position(|member| !is_near(&member));
@@ -108,48 +109,47 @@
         .collect()
 }
 
-fn weight(one: &HostName, other: &HostName) -> u64 {
+/// Gives each host another order of the other hosts, which spreads the copies.
+fn pair_hash(one: &HostName, other: &HostName) -> u64 {
     rapidhash_v3(format!("{one}/{other}").as_bytes())
 }
 
-// --- Sealing
-
-/// Seals what windows are over, if this host is the one to do so for its data centre.
-fn seal(shared: &Shared, book: &WindowTable) {
+/// Seals the oldest window that is over and not sealed, if this host seals for its data centre.
+fn seal(shared: &Shared, table: &WindowTable) {
     let members = shared.gossip.members();
-    let Some(current) = window(shared, GRACE) else {
+    let Some(current) = window_number(shared, WINDOW_GRACE) else {
         return;
     };
     if !is_sealer(shared, &members) {
         return;
     }
-    let first = book.last_frozen.map_or_else(
-        || book.windows.keys().next().copied().unwrap_or(current - 1),
+    let first = table.last_frozen.map_or_else(
+        || table.windows.keys().next().copied().unwrap_or(current - 1),
         |last| last + 1,
     );
-    let first = first.max(current.saturating_sub(MAX_SEALED_AT_ONCE));
-    let due = (first..current).find(|window| !book.is_sealed(*window, &shared.settings.dc));
+    let first = first.max(current.saturating_sub(MAX_SEAL_BACKLOG_WINDOWS));
+    let due = (first..current).find(|window| !table.is_sealed(*window, &shared.settings.dc));
     let Some(due) = due else {
         return;
     };
     gather(shared, &members);
     let now = shared.clock.now();
-    let orphan = Millis(shared.settings.window.0 * ORPHAN_WINDOWS);
+    let orphan_age = Millis(shared.settings.window.0 * ORPHAN_AGE_WINDOWS);
     let is_own = |host: &HostName| {
         let member = members.iter().find(|member| member.host == *host);
         member.is_some_and(|member| member.dc == shared.settings.dc)
     };
-    let orphaned = if now > orphan {
-        now - orphan
+    let orphaned_since = if now > orphan_age {
+        now - orphan_age
     } else {
         Millis::ZERO
     };
-    let seal = lock(&shared.usage).seal(&shared.settings.dc, due, is_own, orphaned);
+    let seal = lock(&shared.usage).seal(&shared.settings.dc, due, is_own, orphaned_since);
     shared.append(RecordBody::UsageSeal(seal));
 }
 
-/// Tells whether this host seals for its data centre: the first in an order that all its hosts know.
-/// Two that both believe so are harmless, since the first seal in the log counts.
+/// Returns whether this host seals for its data centre: the one whose name has the lowest hash does.
+/// If the hosts' member lists differ, two may seal; only the first seal in the log takes effect.
 fn is_sealer(shared: &Shared, members: &[Member]) -> bool {
     let dc = &shared.settings.dc;
     let near = members
@@ -159,41 +159,41 @@
     first.is_some_and(|member| member.host == shared.settings.host)
 }
 
-/// Takes what the other hosts of the data centre hold.
+/// Copies the records that the other hosts of the data centre hold to this host.
 fn gather(shared: &Shared, members: &[Member]) {
     let near = members
         .iter()
         .filter(|member| member.dc == shared.settings.dc && member.host != shared.settings.host);
     for member in near {
         match shared.ask(member.steward, &StewardRequest::HeldUsage) {
-            Ok(StewardAnswer::Usage(records)) => take(shared, &records),
+            Ok(StewardAnswer::Usage(records)) => store(shared, &records),
             Ok(_) | Err(_) => shared.counts.usage.count("not-gathered"),
         }
     }
 }
 
-/// Returns the window that runs, or that ran a while ago.
-pub(crate) fn window(shared: &Shared, ago: Duration) -> Option<u64> {
+/// Returns the number of the window that was current at the given time before now, or `None` before
+/// 1970.
+pub(crate) fn window_number(shared: &Shared, ago: Duration) -> Option<u64> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).ok()?;
     let at = since.checked_sub(ago)?;
     Some(at.as_millis() as u64 / shared.settings.window.0.max(1))
 }
 
-// --- Leading
-
-fn lead(shared: &Shared, book: &WindowTable) {
+/// Freezes and reports windows if this host holds the usage lease.
+fn freeze_and_report(shared: &Shared, table: &WindowTable) {
     let Some(term) = shared.leases.may_act(LeaseKind::Usage) else {
         return;
     };
-    let dcs = expected(shared);
-    let Some(current) = window(shared, GRACE) else {
+    let dcs = sealing_dcs(shared);
+    let Some(current) = window_number(shared, WINDOW_GRACE) else {
         return;
     };
     let view = UsageView {
-        table: book,
+        table,
         current,
         dcs: &dcs,
-        seal_wait_windows: PATIENCE_WINDOWS,
+        seal_wait_windows: SEAL_WAIT_WINDOWS,
     };
     for step in usage_steps(view, term) {
         match step {
@@ -203,8 +203,9 @@
     }
 }
 
-/// Lists the data centres whose seals are waited for: the operators', and any that has a host.
-fn expected(shared: &Shared) -> Vec<Dc> {
+/// Lists the data centres whose seals each window needs: those in the configuration and those that
+/// have hosts, also while they are cut off.
+fn sealing_dcs(shared: &Shared) -> Vec<Dc> {
     let mut dcs = shared.reader.read(|replica| {
         let configuration = replica.fold().configuration();
         configuration.dcs.keys().cloned().collect::<Vec<_>>()
@@ -216,7 +217,8 @@
     dcs
 }
 
-/// Reports frozen figures. The lease is checked once more before the report's last byte is sent.
+/// Reports a window's frozen figures to the platform. The lease is checked once more before the
+/// report's last byte is sent.
 fn report(shared: &Shared, frozen: &WindowFrozen) {
     let Some(term) = shared.leases.may_act(LeaseKind::Usage) else {
         return;
@@ -239,17 +241,15 @@
         }
         Err(PlatformError::Refused { status: 409, .. }) => {
             counts.count("differs");
-            log::error!(window = frozen.window; "the platform holds other figures");
+            log::error!(window = frozen.window; "usage report conflicts with the figures that the platform holds");
         }
         Err(error) => {
             counts.count("not-acknowledged");
-            log::warn!(window = frozen.window; "not acknowledged: {error}");
+            log::warn!(window = frozen.window; "usage report not acknowledged by the platform: {error}");
         }
     }
 }
 
-// --- Wire forms
-
 fn row(figures: &UsageFigures) -> UsageRow {
     UsageRow {
         workspace: figures.workspace.clone(),
@@ -277,7 +277,8 @@
     }
 }
 
-/// The request's own identity isn't kept once it is held; the source and sequence identify it.
+/// Returns a record for the wire. The request's identifier isn't stored, because the source and the
+/// sequence number identify the record, so it is left at its default.
 fn wire_record(usage: RequestUsage) -> UsageRecord {
     UsageRecord {
         host: usage.source.host,
--- a/crates/godwitspool-steward/src/version/weights.rs
+++ b/crates/godwitspool-steward/src/version/weights.rs
@@ -1,7 +1,7 @@
-//! Rolls out weights: orders the engines of each service to load the version in force.
+//! Rolls out weights: orders the engines of each service to load the configured version.
 //!
-//! Only the holder of the weights lease gives orders. What a swap answers is a claim; the load report
-//! shows the version that the engine uses.
+//! Only the holder of the weights lease sends orders. The version in the answer to a swap is not
+//! proof that the engine uses it; the engine's load report is.
 
 use std::{
     collections::BTreeMap,
@@ -24,25 +24,25 @@
 
 use crate::process::shared::Shared;
 
-/// Time between looks at the versions that engines use.
-const LOOK_PERIOD: Millis = Millis(1_000);
-/// Time in which the first look at all engines is answered.
-const FIRST_LOOK: Millis = Millis(500);
-const SWAP_PATIENCE: Millis = Millis(25_000);
+/// Time between polls of the versions that engines use.
+const VERSION_POLL_INTERVAL: Millis = Millis(1_000);
+/// Time after the start of a term until the first swap, in which engines answer the first poll.
+const FIRST_SWAP_DELAY: Millis = Millis(500);
+const SWAP_TIMEOUT: Millis = Millis(25_000);
 
 type Event = (ServiceName, SwapEvent);
 
-/// The rollouts of one term.
+/// The rollouts of all services during one term.
 struct Rollout {
     events: Sender<Event>,
-    heard: Receiver<Event>,
-    began: Millis,
-    looked: Option<Millis>,
+    receiver: Receiver<Event>,
+    started: Millis,
+    last_poll: Option<Millis>,
     plans: BTreeMap<ServiceName, SwapPlan>,
     term: Term,
 }
 
-/// Rolls out weights until the timer ends.
+/// Rolls out weights at each tick until the timer stops. Each term starts a new rollout.
 pub(crate) fn run(shared: &Arc<Shared>, ticks: &Receiver<Tick>) {
     let mut rollout: Option<Rollout> = None;
     while let Ok(Tick { now }) = ticks.recv() {
@@ -58,12 +58,12 @@
 
 impl Rollout {
     fn new(term: Term, now: Millis) -> Self {
-        let (events, heard) = mpsc::channel();
+        let (events, receiver) = mpsc::channel();
         Self {
             events,
-            heard,
-            began: now,
-            looked: None,
+            receiver,
+            started: now,
+            last_poll: None,
             plans: BTreeMap::new(),
             term,
         }
@@ -73,31 +73,34 @@
         let configuration = shared
             .reader
             .read(|replica| Arc::clone(replica.fold().configuration()));
-        let targets = shared.board.targets();
-        if self.looked.is_none_or(|looked| now - looked >= LOOK_PERIOD) {
-            self.looked = Some(now);
-            self.look(&configuration, &targets);
+        let targets = shared.current_view.targets();
+        if self
+            .last_poll
+            .is_none_or(|last| now - last >= VERSION_POLL_INTERVAL)
+        {
+            self.last_poll = Some(now);
+            self.poll_versions(&configuration, &targets);
         }
-        let mut events: Vec<Event> = self.heard.try_iter().collect();
-        for (service, version) in wanted(&configuration) {
-            let own = own_targets(&targets, &service);
+        let mut events: Vec<Event> = self.receiver.try_iter().collect();
+        for (service, version) in desired_versions(&configuration) {
+            let own = live_targets(&targets, &service);
             let listed = own.iter().map(|entry| (entry.target.clone(), 0)).collect();
-            let mut news = vec![SwapEvent::Targets(listed), SwapEvent::Tick];
-            // What the first look shows comes before the first swap.
-            if now - self.began >= FIRST_LOOK {
-                news.push(SwapEvent::Desired(version));
+            let mut changes = vec![SwapEvent::Targets(listed), SwapEvent::Tick];
+            // The first poll shows which version each engine uses before the first swap is decided.
+            if now - self.started >= FIRST_SWAP_DELAY {
+                changes.push(SwapEvent::Desired(version));
             }
-            events.extend(news.into_iter().map(|event| (service.clone(), event)));
+            events.extend(changes.into_iter().map(|event| (service.clone(), event)));
         }
         for (service, event) in events {
             let plan = self.plans.entry(service.clone()).or_default();
             for action in plan.decide(event, now) {
-                self.carry_out(shared, &configuration, &targets, &service, action);
+                self.execute(shared, &configuration, &targets, &service, action);
             }
         }
     }
 
-    fn carry_out(
+    fn execute(
         &self,
         shared: &Arc<Shared>,
         configuration: &Configuration,
@@ -112,7 +115,7 @@
             }
             SwapAction::TakeOut(target) => {
                 shared.counts.swaps.count("taken-out");
-                log::warn!(target_name:% = target; "weights failed too often, target is out");
+                log::warn!(target_name:% = target; "weights failed to load too often, target taken out");
             }
             SwapAction::Swap(target, version) => {
                 let entry = targets.iter().find(|entry| entry.target == target);
@@ -130,7 +133,7 @@
                 let service = service.clone();
                 spawn(move || {
                     if let Some(event) = swap(&shared, &client, &target, &order) {
-                        // A rollout that has ended hears nothing.
+                        // Sending fails if the rollout has ended with its term.
                         events.send((service, event)).unwrap_or_default();
                     }
                 });
@@ -138,10 +141,10 @@
         }
     }
 
-    /// Reads the versions that engines use.
-    fn look(&self, configuration: &Configuration, targets: &[TargetEntry]) {
-        for (service, _) in wanted(configuration) {
-            for entry in own_targets(targets, &service) {
+    /// Asks the engines for the versions that they use, each on a thread of its own.
+    fn poll_versions(&self, configuration: &Configuration, targets: &[TargetEntry]) {
+        for (service, _) in desired_versions(configuration) {
+            for entry in live_targets(targets, &service) {
                 let client = TargetClient::new(entry.address);
                 let (target, events) = (entry.target.clone(), self.events.clone());
                 let service = service.clone();
@@ -156,7 +159,7 @@
     }
 }
 
-/// Orders a swap, if the lease still allows that.
+/// Orders a target to swap its weights if this host still holds the lease. Returns `None` otherwise.
 fn swap(
     shared: &Shared,
     client: &TargetClient,
@@ -167,7 +170,7 @@
         shared.counts.swaps.count("withheld");
         return None;
     }
-    let failure = match client.swap(order, SWAP_PATIENCE) {
+    let failure = match client.swap(order, SWAP_TIMEOUT) {
         Ok(answer) => {
             shared.counts.swaps.count("answered");
             return Some(SwapEvent::Answered(target.clone(), answer.weights));
@@ -177,7 +180,7 @@
             status: 429 | 503, ..
         }) => SwapFailure::RateLimited,
         Err(error) => {
-            log::warn!(target_name:% = target; "weights are not loaded: {error}");
+            log::warn!(target_name:% = target; "weights not loaded: {error}");
             SwapFailure::Failed
         }
     };
@@ -194,26 +197,26 @@
         .name("weights".to_owned())
         .spawn(work);
     if let Err(error) = spawned {
-        log::error!("no thread for weights: {error}");
+        log::error!("can't start a thread for weights: {error}");
     }
 }
 
-/// Lists the services of engines with the version that they are to use.
-fn wanted(configuration: &Configuration) -> Vec<(ServiceName, WeightVersion)> {
+/// Lists the engine services with the version that their targets are to use.
+fn desired_versions(configuration: &Configuration) -> Vec<(ServiceName, WeightVersion)> {
     let engines = configuration
         .services
         .iter()
         .filter(|(_, rules)| rules.kind == ServiceKind::Engine);
-    let wanted = engines.filter_map(|(service, rules)| {
+    let versions = engines.filter_map(|(service, rules)| {
         let version = configuration.weights.get(&rules.model)?;
         Some((service.clone(), version.clone()))
     });
-    wanted.collect()
+    versions.collect()
 }
 
-fn own_targets<'a>(targets: &'a [TargetEntry], service: &ServiceName) -> Vec<&'a TargetEntry> {
-    let own = targets
+fn live_targets<'a>(targets: &'a [TargetEntry], service: &ServiceName) -> Vec<&'a TargetEntry> {
+    let live = targets
         .iter()
         .filter(|entry| entry.service == *service && entry.state == TargetState::Live);
-    own.collect()
+    live.collect()
 }
