--- a/crates/godwitspool-steward/tests/paused.rs
+++ b/crates/godwitspool-steward/tests/paused.rs
@@ -1,4 +1,4 @@
-//! Steward processes that are really paused and killed, before targets that ignore fencing tokens.
+//! Steward processes paused with SIGSTOP and killed, with targets that ignore fencing tokens.
 
 #![expect(clippy::unwrap_used, reason = "a failed setup fails the test")]
 #![cfg(unix)]
@@ -67,18 +67,20 @@
     }
 }
 
-/// Returns who gave the last order.
+/// Returns the host that sent the last order.
 fn last_host(platform: &Platform) -> HostName {
     orders(platform).last().unwrap().host.clone()
 }
 
-/// Raises the floor and waits until the targets are there.
-fn raise(platform: &Platform, base: Option<Offset>, floor: u32) -> Offset {
+/// Publishes a higher floor and waits until there are as many targets.
+fn raise_floor(platform: &Platform, base: Option<Offset>, floor: u32) -> Offset {
     let published = publish(platform, base, &configuration(floor));
     wait_for("the targets", || platform.targets().len() == floor as usize);
     published
 }
 
+/// A holder that was paused for longer than its term could still send an order that it had decided
+/// before, after its successor's orders, since the targets don't check fencing tokens.
 #[test]
 fn a_paused_holder_gives_no_order_after_its_successor() {
     let platform = start_platform();
@@ -88,7 +90,7 @@
     let hosts = hosts.map(|process| host_entry(&process.host, process.steward));
     platform.set_hosts(hosts.collect());
     let mut floor = 1;
-    let mut base = Some(raise(&platform, None, floor));
+    let mut base = Some(raise_floor(&platform, None, floor));
     for _ in 0..3 {
         let holder = last_host(&platform);
         let paused = processes
@@ -97,9 +99,9 @@
             .unwrap();
         paused.signal("-STOP");
         floor += 2;
-        base = Some(raise(&platform, base, floor));
+        base = Some(raise_floor(&platform, base, floor));
         assert_ne!(last_host(&platform), holder);
-        // The paused one wakes with what it had decided, and both see a new wish at once.
+        // The paused host resumes with its old decisions while the floor is raised again.
         floor += 2;
         let published = publish(&platform, base, &configuration(floor));
         paused.signal("-CONT");
@@ -110,6 +112,6 @@
     }
     let holder = last_host(&platform);
     processes.retain(|process| *process.host != *holder.as_str());
-    raise(&platform, base, floor + 1);
+    raise_floor(&platform, base, floor + 1);
     check_orders(&platform);
 }
--- a/crates/godwitspool-steward/tests/steward.rs
+++ b/crates/godwitspool-steward/tests/steward.rs
@@ -1,4 +1,4 @@
-//! Stewards over real sockets: leases, orders, usage and configuration through kills, lost answers,
+//! Stewards over real sockets: leases, orders, usage and configuration during kills, lost answers,
 //! outages and races.
 
 #![expect(clippy::unwrap_used, reason = "a failed setup fails the test")]
@@ -97,8 +97,8 @@
         .collect()
 }
 
-/// Adds up the requests that were reported, each window once.
-fn billed(platform: &Platform) -> u64 {
+/// Returns the number of reported requests, counting each window once.
+fn reported_requests(platform: &Platform) -> u64 {
     let mut windows = BTreeMap::new();
     for (report, stored) in reports(platform) {
         assert!(stored, "a window was reported with other figures");
@@ -119,8 +119,8 @@
     publish(&platform, Some(first), &configuration(5));
     wait_for("the successor's order", || platform.targets().len() == 5);
     check_orders(&platform);
-    let given = orders(&platform);
-    assert!(given.first().unwrap().term < given.last().unwrap().term);
+    let sent = orders(&platform);
+    assert!(sent.first().unwrap().term < sent.last().unwrap().term);
 }
 
 #[test]
@@ -128,7 +128,7 @@
     let platform = start_platform();
     let stewards = start_all(&platform, LONG_WINDOW);
     wait_for("a holder", || holder(&stewards, "orders").is_some());
-    // Enough for the intent, the order and the outcome, beside the renewals of the leases.
+    // Enough to cover the intent, the order and the outcome besides the lease renewals.
     platform.lose_answers(40);
     publish(&platform, None, &configuration(4));
     wait_for("the targets", || platform.targets().len() == 4);
@@ -150,13 +150,13 @@
     wait_for("the first order", || platform.targets().len() == 1);
     platform.set_outage(true);
     wait_for("no holder", || holder(&stewards, "orders").is_none());
-    let given = orders(&platform).len();
+    let sent = orders(&platform).len();
     publish(&platform, Some(first), &configuration(3));
-    // Entries are served on with what is in force, and told its age.
+    // Entries still get the current configuration, with its age.
     let before = view(&stewards[0]).unwrap().configuration;
     wait_for("the age", || view(&stewards[0]).unwrap().age_ms > 1_500);
     assert_eq!(view(&stewards[0]).unwrap().configuration, before);
-    assert_eq!(orders(&platform).len(), given);
+    assert_eq!(orders(&platform).len(), sent);
     platform.set_outage(false);
     wait_for("the order after the outage", || {
         platform.targets().len() == 3
@@ -176,10 +176,10 @@
         ..Configuration::default()
     };
     publish(&platform, None, &with_workspace("first"));
-    let lost = publish(&platform, None, &with_workspace("second"));
+    let second = publish(&platform, None, &with_workspace("second"));
     wait_for("both publishes everywhere", || {
         let views = stewards.iter().filter_map(view);
-        views.filter(|view| view.offset > lost).count() == 3
+        views.filter(|view| view.offset > second).count() == 3
     });
     for steward in &stewards {
         let view = view(steward).unwrap();
@@ -218,9 +218,11 @@
     let records = (1..=5).map(|sequence| usage("b", sequence)).collect();
     ask(stewards[0].address(), &StewardRequest::HoldUsage(records));
     platform.lose_answers(2);
-    wait_for("all requests in reports", || billed(&platform) >= 25);
+    wait_for("all requests in reports", || {
+        reported_requests(&platform) >= 25
+    });
     thread::sleep(Duration::from_millis(2 * window.0));
-    assert_eq!(billed(&platform), 25);
+    assert_eq!(reported_requests(&platform), 25);
 }
 
 #[test]
@@ -241,6 +243,8 @@
         ask(steward.address(), &StewardRequest::HoldUsage(records));
     }
     let all = 4 * names.len() as u64;
-    wait_for("all requests in reports", || billed(&platform) >= all);
-    assert_eq!(billed(&platform), all);
+    wait_for("all requests in reports", || {
+        reported_requests(&platform) >= all
+    });
+    assert_eq!(reported_requests(&platform), all);
 }
--- a/crates/godwitspool-steward/tests/support/mod.rs
+++ b/crates/godwitspool-steward/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A platform stand-in with one class of targets, and what its history must show.
+//! A stand-in for the platform with one class of targets, and checks on its history.
 
 #![expect(clippy::unwrap_used, reason = "a failed setup fails the test")]
 
@@ -16,11 +16,11 @@
     ServiceRules,
 };
 
-const BOUND: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Waits until the condition holds; fails after a generous bound.
+/// Waits until the condition holds and panics if it doesn't within [`WAIT_TIMEOUT`].
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + BOUND;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "waited in vain for {what}");
         thread::sleep(Duration::from_millis(20));
@@ -64,7 +64,7 @@
     }
 }
 
-/// Publishes a whole configuration and returns the publish's offset.
+/// Publishes a whole configuration and returns the offset of its record.
 pub fn publish(platform: &Platform, base: Option<Offset>, new: &Configuration) -> Offset {
     let change = ConfigurationChange::between(&Configuration::default(), new);
     let publish = Publish {
@@ -75,7 +75,7 @@
     platform.append(Record::new(RecordBody::Publish(publish)).encode())
 }
 
-/// Lists a host in the data centre.
+/// Returns an entry for the platform's list of hosts.
 pub fn host_entry(host: &str, steward: std::net::SocketAddr) -> HostEntry {
     HostEntry {
         address: steward.ip(),
@@ -87,7 +87,7 @@
     }
 }
 
-/// Returns the orders that the platform got, in order.
+/// Returns the orders that the platform received, oldest first.
 pub fn orders(platform: &Platform) -> Vec<TargetOrder> {
     let events = platform.history().into_iter().map(|record| record.event);
     events
@@ -98,16 +98,20 @@
         .collect()
 }
 
-/// Checks that no order came from a term after one of a later term, and that no two hosts gave orders
-/// under the same term.
+/// Asserts that the terms of the orders never decrease and that no two hosts sent orders under the same
+/// term.
 pub fn check_orders(platform: &Platform) {
     let orders = orders(platform);
     for pair in orders.windows(2) {
         let (one, next) = (&pair[0], &pair[1]);
-        assert!(one.term <= next.term, "an old term gave orders: {orders:?}");
+        assert!(one.term <= next.term, "order under an old term: {orders:?}");
     }
     let hosts = orders.iter().map(|order| (order.term, &order.host));
     let hosts = hosts.collect::<BTreeSet<_>>();
     let terms = hosts.iter().map(|(term, _)| term).collect::<BTreeSet<_>>();
-    assert_eq!(hosts.len(), terms.len(), "a term of two hosts: {hosts:?}");
+    assert_eq!(
+        hosts.len(),
+        terms.len(),
+        "two hosts sent orders under one term: {hosts:?}"
+    );
 }
