--- a/crates/godwitspool-steward/src/version/orders.rs
+++ b/crates/godwitspool-steward/src/version/orders.rs
@@ -20,7 +20,7 @@
 
 /// Age at which an entry's demand is discarded.
 const MAX_DEMAND_AGE: Millis = Millis(5_000);
-/// Time between two times that the own entry's demand is forwarded to the lease holder.
+/// Time between forwards of the demand of this host's entry to the lease holder.
 const DEMAND_FORWARD_INTERVAL: Millis = Millis(500);
 
 /// Decides and sends target orders at each tick until the timer stops.
@@ -168,7 +168,7 @@
     lock(&shared.demands).insert(reported.demand.host.clone(), reported);
 }
 
-/// Sends the own entry's demand to the lease holder, unless this host is the holder.
+/// Sends the demand of this host's entry to the lease holder, unless that is this host.
 fn forward_demand(shared: &Shared) {
     let own = &shared.settings.host;
     let demand = lock(&shared.demands)
--- a/crates/godwitspool-steward/src/version/usage.rs
+++ b/crates/godwitspool-steward/src/version/usage.rs
@@ -28,7 +28,7 @@
 const RETRY_INTERVAL: Millis = Millis(1_000);
 /// Number of windows after which a window is frozen without the seal of a data centre.
 const SEAL_WAIT_WINDOWS: u64 = 60;
-/// Number of windows after which any data centre seals a record that its own one has not sealed.
+/// Number of windows after which a data centre also seals records of other data centres' hosts.
 const ORPHAN_AGE_WINDOWS: u64 = 2;
 /// Number of windows before the current one that are still sealed.
 const MAX_SEAL_BACKLOG_WINDOWS: u64 = 4;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Stores an entry's records. Records of the own entry are also copied to other hosts before this
+/// Stores an entry's records. Those of this host's entry are also copied to other hosts before this
 /// returns; a shortage of copies is only counted.
 pub(crate) fn hold(shared: &Shared, records: Vec<UsageRecord>) {
     store(shared, &records);
@@ -90,7 +90,7 @@
     });
 }
 
-/// Lists hosts to which records are copied: first one in the own data centre, then one in another,
+/// Lists hosts to which records are copied: first one in this data centre, then one in another,
 /// then the rest.
 fn copy_candidates(shared: &Shared) -> Vec<Member> {
     let mut others = shared.gossip.members();
