--- a/crates/godwitspool-request/src/lib.rs
+++ b/crates/godwitspool-request/src/lib.rs
@@ -1,8 +1,8 @@
-//! What lives for a request: whose it is, whether it is admitted, where it goes, and what follows
-//! a failure.
+//! Decisions about a request: who sent it, whether it is admitted, which target runs it, and what
+//! follows a failure.
 //!
-//! Everything here decides over plain data: states, events and the time go in, actions come out.
-//! No clock, socket or lock is used, so the same code runs in the entry daemon, in tests and in the
+//! The functions here take state, events and the current time, and return actions. They use no
+//! clock, socket or lock, so the same code runs in the entry daemon, in tests and in the
 //! measurements.
 //!
 //! ```
@@ -30,22 +30,22 @@
 mod training_share;
 
 pub use admission::{Admission, AdmissionAction, AdmissionEvent, Ticket};
-pub use breaker::{Breaker, Health};
+pub use breaker::{AttemptOutcome, Breaker};
 pub use idempotency::{
-    ClaimAnswer, Fate, Handed, IdempotencyKey, KEY_HOMES, KeyHome, KeyLoss, KeyRecord,
+    ClaimAnswer, Fate, HandoverItem, IdempotencyKey, KEY_HOMES, KeyHome, KeyLoss, KeyRecord,
 };
 pub use keys::{Caller, KeyTable};
-pub use limits::{Grant, LimitHome, Limits, Usage, Want};
+pub use limits::{Grant, LimitDemand, LimitHome, LimitUsage, Limits};
 pub use prefixes::{PrefixEvent, Prefixes};
 pub use quarantine::{
-    Blame, Record, Standing, SuspectAction, SuspectEvent, SuspectList, Suspects, WHOLE_BLAME,
-    share_blame,
+    BLAME_PER_CRASH, Blame, CrashRecord, SuspectAction, SuspectEvent, SuspectList, SuspectStatus,
+    Suspects, split_blame,
 };
 pub use refusal::{Reason, Refusal};
 pub use rendezvous::{homes, stable_hash};
-pub use resume::{Piece, Stitch, Stitched};
-pub use retry::{Attempts, RetryBudget, RetryReason, Verdict};
-pub use silence::{Line, LineAction, Pace, Wait, decide_silence};
+pub use resume::{AnswerAssembler, StreamToken, TokenOutcome};
+pub use retry::{Attempts, RetryBudget, RetryDecision, RetryReason};
+pub use silence::{ConnectionAction, ConnectionState, IdleTimeout, Wait, check_idle_connections};
 pub use target::{LoadReport, TargetFacts, TargetId};
 pub use targets::{Choice, Need, Targets};
 pub use training_share::TrainingShare;
