--- a/crates/godwitspool-demo/src/caller.rs
+++ b/crates/godwitspool-demo/src/caller.rs
@@ -12,7 +12,7 @@
 };
 
 use godwitspool_connection::engine::{Generate, Message};
-use godwitspool_fakes::{answer_tokens, prompt_hash, token};
+use godwitspool_fakes::{answer_length, prompt_hash, token};
 use godwitspool_history::{Answer, Event, Recorder, Work};
 use godwitspool_types::{HostName, Key, Ran, RequestId, ServiceName, Workspace};
 use godwitspool_version::{ServiceKind, ServiceRules};
@@ -366,7 +366,7 @@
     max_tokens: u32,
     got: impl ExactSizeIterator<Item = &'a str>,
 ) -> Answer {
-    let (count, _) = answer_tokens(prompt, max_tokens);
+    let (count, _) = answer_length(prompt, max_tokens);
     let length = got.len();
     let same = got
         .zip(0..)
--- a/crates/godwitspool-demo/src/figures.rs
+++ b/crates/godwitspool-demo/src/figures.rs
@@ -196,7 +196,7 @@
     /// Adds what the platform was paid for.
     pub(crate) fn count_targets(&mut self, platform: &Platform, deployment: &Deployment) {
         let (mut all_ms, mut cheap_ms) = (0, 0);
-        for (class, ms) in platform.target_ms() {
+        for (class, ms) in platform.billed_ms() {
             all_ms += ms;
             if deployment.is_cheap(&class) {
                 cheap_ms += ms;
--- a/crates/godwitspool-demo/src/system.rs
+++ b/crates/godwitspool-demo/src/system.rs
@@ -110,7 +110,7 @@
 
     /// Cuts a data centre off from the platform and from the other data centres until unset.
     pub(crate) fn set_partition(&self, dc: &Dc, on: bool) {
-        self.platform.set_view_cut(dc, on);
+        self.platform.set_view_partition(dc, on);
         for link in &self.links {
             if link.from == *dc || link.to == *dc {
                 link.tcp.iter().for_each(|relay| relay.set_partition(on));
--- a/crates/godwitspool-entry/tests/bench/mod.rs
+++ b/crates/godwitspool-entry/tests/bench/mod.rs
@@ -21,7 +21,7 @@
 };
 use godwitspool_entry::Entry;
 use godwitspool_fakes::{
-    Engine, EngineOptions, PlainOptions, PlainService, answer_tokens, prompt_hash, token,
+    Engine, EngineOptions, PlainOptions, PlainService, answer_length, prompt_hash, token,
 };
 use godwitspool_process::EntrySettings;
 use godwitspool_types::{Key, Offset};
@@ -297,7 +297,7 @@
             role: "user".to_owned(),
         };
         let hash = prompt_hash(&[message], SEED);
-        let (count, _) = answer_tokens(hash, most);
+        let (count, _) = answer_length(hash, most);
         let expected: Vec<_> = (0..count).map(|index| token(hash, index)).collect();
         assert_eq!(tokens, expected);
     }
@@ -322,7 +322,7 @@
             content: format!("prompt {index}"),
             role: "user".to_owned(),
         };
-        answer_tokens(prompt_hash(&[message], SEED), most).0 >= least
+        answer_length(prompt_hash(&[message], SEED), most).0 >= least
     };
     format!("prompt {}", (0..10_000).find(long).unwrap())
 }
--- a/crates/godwitspool-entry/tests/path.rs
+++ b/crates/godwitspool-entry/tests/path.rs
@@ -13,7 +13,7 @@
 use godwitspool_connection::engine::{Chunk, Message};
 use godwitspool_entry::Entry;
 use godwitspool_fakes::{
-    ClassOptions, Platform, PlatformOptions, answer_tokens, prompt_hash, token,
+    ClassOptions, Platform, PlatformOptions, answer_length, prompt_hash, token,
 };
 use godwitspool_process::{EntrySettings, StewardSettings};
 use godwitspool_steward::Steward;
@@ -149,7 +149,7 @@
         role: "user".to_owned(),
     };
     let prompt = prompt_hash(&[message], SEED);
-    let (count, _) = answer_tokens(prompt, MAX_TOKENS);
+    let (count, _) = answer_length(prompt, MAX_TOKENS);
     let expected: Vec<_> = (0..count).map(|index| token(prompt, index)).collect();
     assert_eq!(tokens, expected);
 }
--- a/crates/godwitspool-entry/tests/trainer_system/mod.rs
+++ b/crates/godwitspool-entry/tests/trainer_system/mod.rs
@@ -13,7 +13,7 @@
 };
 use godwitspool_entry::Entry;
 use godwitspool_fakes::{
-    ClassOptions, EngineOptions, Platform, PlatformOptions, TargetKind, answer_tokens,
+    ClassOptions, EngineOptions, Platform, PlatformOptions, TargetKind, answer_length,
     free_address, prompt_hash, token,
 };
 use godwitspool_process::{EntrySettings, StewardSettings};
@@ -271,7 +271,7 @@
         let group = number(sample, "group");
         let index = number(sample, "index");
         let hash = hash_of(step, group, index);
-        let (count, finish) = answer_tokens(hash, MAX_TOKENS);
+        let (count, finish) = answer_length(hash, MAX_TOKENS);
         let tokens: Vec<_> = (0..count).map(|index| token(hash, index)).collect();
         assert_eq!(sample["tokens"], json!(tokens), "{group}/{index}");
         let named = if finish == Finish::Length {
--- a/crates/godwitspool-fakes/src/batch.rs
+++ b/crates/godwitspool-fakes/src/batch.rs
@@ -8,7 +8,7 @@
 use crate::{
     engine_event::{EngineEvent, VersionSpan},
     server::EventStream,
-    token::{answer_tokens, token},
+    token::{answer_length, token},
 };
 
 /// A request on the engine.
@@ -48,7 +48,7 @@
 
     /// Sets where the answer ends.
     pub(crate) fn end_for(prompt: u64, max_tokens: u32) -> (u32, Finish) {
-        answer_tokens(prompt, max_tokens)
+        answer_length(prompt, max_tokens)
     }
 
     /// Ends the stream; returns the record.
--- a/crates/godwitspool-fakes/src/platform.rs
+++ b/crates/godwitspool-fakes/src/platform.rs
@@ -191,7 +191,7 @@
     }
 
     /// Cuts a data centre's view off until unset: connections stay open and say nothing.
-    pub fn set_view_cut(&self, dc: &Dc, on: bool) {
+    pub fn set_view_partition(&self, dc: &Dc, on: bool) {
         if let Some(view) = lock(&self.views).get(dc) {
             view.relay.set_partition(on);
         }
@@ -292,7 +292,7 @@
     }
 
     /// Returns the time paid for, by class, in milliseconds.
-    pub fn target_ms(&self) -> BTreeMap<ClassName, u64> {
+    pub fn billed_ms(&self) -> BTreeMap<ClassName, u64> {
         lock(&self.shared.state).fleet.cost(wall_ms())
     }
 }
--- a/crates/godwitspool-fakes/src/platform_store.rs
+++ b/crates/godwitspool-fakes/src/platform_store.rs
@@ -26,7 +26,7 @@
     /// It refuses with 503.
     Busy,
     /// It carries the call out and doesn't answer.
-    Lose,
+    LoseAnswer,
     /// It neither carries the call out nor answers.
     Silent,
     /// It closes the connection at once.
@@ -109,7 +109,7 @@
     }
 
     /// Ends the faults.
-    pub fn heal(&self) {
+    pub fn clear_fault(&self) {
         self.shared.lock().fault = None;
     }
 
@@ -200,10 +200,10 @@
                 thread::sleep(SILENCE);
                 return closed();
             }
-            StoreFault::None | StoreFault::Lose => {}
+            StoreFault::None | StoreFault::LoseAnswer => {}
         }
         let answer = self.answer(request, parts);
-        if fault == StoreFault::Lose {
+        if fault == StoreFault::LoseAnswer {
             thread::sleep(SILENCE);
             return closed();
         }
--- a/crates/godwitspool-fakes/src/platform_target.rs
+++ b/crates/godwitspool-fakes/src/platform_target.rs
@@ -146,12 +146,12 @@
     }
 
     /// Returns the requests that it ran.
-    pub fn seen(&self) -> Vec<Request> {
+    pub fn executed(&self) -> Vec<Request> {
         lock(&self.shared.seen).clone()
     }
 
     /// Returns how many streams were cut by their caller.
-    pub fn cut(&self) -> usize {
+    pub fn disconnects(&self) -> usize {
         self.shared.cut.load(Ordering::SeqCst)
     }
 
--- a/crates/godwitspool-fakes/src/scorer.rs
+++ b/crates/godwitspool-fakes/src/scorer.rs
@@ -20,7 +20,7 @@
 
 /// The score of an answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Scored {
+pub struct ScoreResponse {
     /// Identity of the sample.
     pub sample: String,
     /// Score from 0 to 1.
@@ -75,7 +75,7 @@
             let score = rapidhash::v3::rapidhash_v3(bytes.as_bytes()) as f64 / u64::MAX as f64;
             respond_json(
                 request,
-                &Scored {
+                &ScoreResponse {
                     sample: asked.sample,
                     score,
                 },
--- a/crates/godwitspool-fakes/src/token.rs
+++ b/crates/godwitspool-fakes/src/token.rs
@@ -43,11 +43,11 @@
 ///
 /// ```
 /// use godwitspool_connection::engine::Finish;
-/// use godwitspool_fakes::answer_tokens;
+/// use godwitspool_fakes::answer_length;
 ///
-/// assert_eq!(answer_tokens(4, 100), (100, Finish::Length));
+/// assert_eq!(answer_length(4, 100), (100, Finish::Length));
 /// ```
-pub fn answer_tokens(prompt: u64, max_tokens: u32) -> (u32, Finish) {
+pub fn answer_length(prompt: u64, max_tokens: u32) -> (u32, Finish) {
     if prompt.is_multiple_of(4) || max_tokens < 2 {
         return (max_tokens, Finish::Length);
     }
--- a/crates/godwitspool-fakes/tests/engine.rs
+++ b/crates/godwitspool-fakes/tests/engine.rs
@@ -10,7 +10,7 @@
     Chunk, Finish, Generate, KvHandle, Load, Message, SwapAnswer, SwapOrder,
 };
 use godwitspool_fakes::{
-    Engine, EngineEvent, EngineOptions, SwapFault, answer_tokens, prompt_hash, token,
+    Engine, EngineEvent, EngineOptions, SwapFault, answer_length, prompt_hash, token,
 };
 use godwitspool_types::{Term, WeightVersion};
 use rstest::rstest;
@@ -69,7 +69,7 @@
 
 fn expected(asked: &Generate) -> (Vec<String>, Finish) {
     let prompt = prompt_hash(&asked.messages, asked.seed);
-    let (count, finish) = answer_tokens(prompt, asked.max_tokens);
+    let (count, finish) = answer_length(prompt, asked.max_tokens);
     (
         (0..count).map(|index| token(prompt, index)).collect(),
         finish,
--- a/crates/godwitspool-fakes/tests/plain_service.rs
+++ b/crates/godwitspool-fakes/tests/plain_service.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use godwitspool_fakes::{PlainFault, PlainOptions, PlainService, ScoreRequest, Scored, Scorer};
+use godwitspool_fakes::{
+    PlainFault, PlainOptions, PlainService, ScoreRequest, ScoreResponse, Scorer,
+};
 use rstest::rstest;
 
 fn agent() -> ureq::Agent {
@@ -63,7 +65,11 @@
             tokens: vec![text.into()],
         };
         let mut answer = agent().post(&url).send_json(&asked).unwrap();
-        answer.body_mut().read_json::<Scored>().unwrap().score
+        answer
+            .body_mut()
+            .read_json::<ScoreResponse>()
+            .unwrap()
+            .score
     };
     assert!((score("a") - score("a")).abs() < f64::EPSILON);
     assert!((score("a") - score("b")).abs() > f64::EPSILON);
--- a/crates/godwitspool-fakes/tests/platform.rs
+++ b/crates/godwitspool-fakes/tests/platform.rs
@@ -199,7 +199,7 @@
     assert_eq!(names.len(), 2);
     wait_for(|| get::<TargetList>(&platform, "/targets").targets.is_empty());
     assert!(platform.engines().iter().all(|engine| engine.is_crashed()));
-    assert!(platform.target_ms()["cheap"] > 0);
+    assert!(platform.billed_ms()["cheap"] > 0);
 }
 
 #[test]
@@ -277,9 +277,9 @@
     };
     assert_eq!(hosts().unwrap().hosts, [host]);
     assert!(get::<HostList>(&platform, "/hosts").hosts.is_empty());
-    platform.set_view_cut(&dc, true);
+    platform.set_view_partition(&dc, true);
     assert!(hosts().is_err());
-    platform.set_view_cut(&dc, false);
+    platform.set_view_partition(&dc, false);
     assert!(hosts().is_ok());
     platform.set_view_held(&dc, true);
     thread::scope(|scope| {
