--- a/crates/godwitspool-fakes/src/free_address.rs
+++ b/crates/godwitspool-fakes/src/free_address.rs
@@ -5,35 +5,36 @@
     sync::atomic::{AtomicU16, Ordering},
 };
 
-/// First port that is handed out. The ports end below those that Linux gives to sockets without a
-/// port of their own (32768 and up), so none is taken between the answer and its use.
+/// First port of the first range. All ranges end below the ephemeral ports of Linux (32768 and up),
+/// so the kernel doesn't assign a returned port to another socket before the caller binds it.
 const FIRST_PORT: u16 = 12_000;
-/// Ports of one process.
-const PROCESS_PORTS: u16 = 100;
-/// Processes that have ports of their own; their ids tell them apart.
-const PROCESSES: u16 = 200;
+/// Size of the port range of one process.
+const PORTS_PER_PROCESS: u16 = 100;
+/// Number of port ranges. The process id selects the range, so that parallel test processes use
+/// different ports.
+const PORT_RANGES: u16 = 200;
 
 static NEXT: AtomicU16 = AtomicU16::new(0);
 
-/// Returns a loopback address that nobody uses, each time another one.
+/// Returns a loopback address with an unused port, a different one on each call.
 ///
 /// # Errors
 ///
-/// When all ports of this process are used.
+/// Returns `AddrInUse` if all ports in the range of this process are in use.
 ///
 /// ```
 /// use godwitspool_fakes::free_address;
 ///
 /// let (one, other) = (free_address()?, free_address()?);
 /// assert_ne!(one, other);
-/// assert!(one.port() < 32_768, "never one that the system gives to others");
+/// assert!(one.port() < 32_768, "not an ephemeral port");
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub fn free_address() -> io::Result<SocketAddr> {
-    let own = process::id() % u32::from(PROCESSES);
-    let first = FIRST_PORT + own as u16 * PROCESS_PORTS;
-    let mut ports = (0..PROCESS_PORTS).map(|_| {
-        let number = NEXT.fetch_add(1, Ordering::SeqCst) % PROCESS_PORTS;
+    let range = process::id() % u32::from(PORT_RANGES);
+    let first = FIRST_PORT + range as u16 * PORTS_PER_PROCESS;
+    let mut ports = (0..PORTS_PER_PROCESS).map(|_| {
+        let number = NEXT.fetch_add(1, Ordering::SeqCst) % PORTS_PER_PROCESS;
         SocketAddr::from((Ipv4Addr::LOCALHOST, first + number))
     });
     let free = ports.find(|address| TcpListener::bind(address).is_ok());
--- a/crates/godwitspool-fakes/src/lib.rs
+++ b/crates/godwitspool-fakes/src/lib.rs
@@ -1,7 +1,9 @@
-//! Small stand-ins for what the system meets: engines, plain services, a scorer and the platform.
+//! Fakes of the services that godwitspool talks to: model engines, plain services, a scorer and the
+//! platform.
 //!
-//! Each stand-in runs on real sockets in threads of the process that starts it and stops when it is
-//! dropped. Faults are switched on and off while it runs, and each keeps a history of what it saw.
+//! Each fake runs on real sockets in threads of the process that starts it and stops when it is
+//! dropped. Most of them can inject faults, which are switched on and off at run time, and record
+//! the requests that they receive.
 //!
 //! ```
 //! use godwitspool_fakes::{Engine, EngineOptions};
--- a/crates/godwitspool-fakes/src/main.rs
+++ b/crates/godwitspool-fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own, until it is ended.
+//! Runs one fake as a separate process until the process is killed.
 
 use std::{net::SocketAddr, process::ExitCode, thread, time::Duration};
 
@@ -11,9 +11,9 @@
                      [--name NAME] [--model MODEL] [--weights VERSION] [--step-ms N] \
                      [--targets FILE] [--hosts FILE]
 
-Stand-ins for trying godwitspool out. Each prints its address and runs until it is ended.
---targets and --hosts name JSON files of the platform's lists.";
-const SLEEP: Duration = Duration::from_hours(1);
+Fake services for trying out godwitspool. Each prints its address and runs until it is killed.
+--targets and --hosts are JSON files with the platform's target list and host list.";
+const SLEEP_INTERVAL: Duration = Duration::from_hours(1);
 
 struct Arguments {
     hosts: Option<String>,
@@ -116,14 +116,16 @@
             let scorer = Scorer::start(listen, 1)?;
             wait(scorer.address(), &scorer)
         }
-        other => Err(format!("{other:?} is none of platform, engine, plain, scorer").into()),
+        other => {
+            Err(format!("unknown fake {other:?}: not platform, engine, plain or scorer").into())
+        }
     }
 }
 
-/// Prints the address and keeps the stand-in until the process is ended.
-fn wait<T>(address: SocketAddr, _running: &T) -> ! {
+/// Prints the address and keeps the fake running until the process is killed.
+fn wait<T>(address: SocketAddr, _fake: &T) -> ! {
     println!("{address}");
     loop {
-        thread::sleep(SLEEP);
+        thread::sleep(SLEEP_INTERVAL);
     }
 }
--- a/crates/godwitspool-fakes/src/plain_service.rs
+++ b/crates/godwitspool-fakes/src/plain_service.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     relay::Relay,
-    server::{HttpServer, find_key, lock, lose_answer, read_body, respond_json, wall_ms},
+    server::{HttpServer, find_key, leave_unanswered, lock, read_body, respond_json, wall_ms},
 };
 
 const HTTP_WORKERS: usize = 16;
@@ -251,7 +251,7 @@
     thread::sleep(Duration::from_millis(shared.options.delay_ms));
     match fault {
         PlainFault::Cut => cut_answer(request, relay.as_deref()),
-        PlainFault::Lost => lose_answer(request),
+        PlainFault::Lost => leave_unanswered(request),
         PlainFault::None => answer(request, &call),
     }
 }
@@ -269,7 +269,7 @@
             let response = Response::from_data(body).with_status_code(status.unwrap_or(200u16));
             drop(request.respond(response));
         }
-        Err(_) => lose_answer(request),
+        Err(_) => leave_unanswered(request),
     }
 }
 
--- a/crates/godwitspool-fakes/src/platform_http.rs
+++ b/crates/godwitspool-fakes/src/platform_http.rs
@@ -10,7 +10,7 @@
 use crate::{
     platform::{Shared, State},
     platform_event::PlatformEvent,
-    server::{lock, lose_answer, read_body, read_json, respond_json, respond_status, wall_ms},
+    server::{leave_unanswered, lock, read_body, read_json, respond_json, respond_status, wall_ms},
 };
 
 const PAGE_RECORDS: usize = 1_000;
@@ -64,7 +64,7 @@
     let records = asked.records.len() as u64;
     let first = state.log.append(asked.records);
     state.record(PlatformEvent::Appended { first, records });
-    let lost = state.lose_answer();
+    let lost = state.take_lost_answer();
     drop(state);
     answer(request, &Appended { first }, lost);
 }
@@ -101,7 +101,7 @@
         order,
         repeated,
     });
-    let lost = state.lose_answer();
+    let lost = state.take_lost_answer();
     drop(state);
     answer(request, &given, lost);
 }
@@ -121,10 +121,10 @@
             .or_insert_with(|| report.clone());
     }
     state.record(PlatformEvent::Usage { report, stored });
-    let lost = state.lose_answer();
+    let lost = state.take_lost_answer();
     drop(state);
     if lost {
-        return lose_answer(request);
+        return leave_unanswered(request);
     }
     let status = if stored { 200 } else { 409 };
     respond_status(request, status, "");
@@ -140,14 +140,14 @@
 
 fn answer(request: Request, value: &impl Serialize, lost: bool) {
     if lost {
-        lose_answer(request);
+        leave_unanswered(request);
     } else {
         respond_json(request, value);
     }
 }
 
 impl State {
-    fn lose_answer(&mut self) -> bool {
+    fn take_lost_answer(&mut self) -> bool {
         let lost = self.lost_answers > 0;
         self.lost_answers = self.lost_answers.saturating_sub(1);
         lost
--- a/crates/godwitspool-fakes/src/relay.rs
+++ b/crates/godwitspool-fakes/src/relay.rs
@@ -1,4 +1,4 @@
-//! A TCP relay in front of a listener, whose connections can be cut, silenced or refused.
+//! A TCP relay in front of a listener that can close, silence or refuse connections.
 
 use std::{
     fmt,
@@ -16,7 +16,7 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 const STACK_BYTES: usize = 128 << 10;
-const BIND_RETRY: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A TCP relay to one upstream address.
@@ -40,20 +40,22 @@
 
 #[derive(Default)]
 struct Shared {
-    links: Mutex<Vec<Arc<Link>>>,
-    /// Answers are kept back.
+    connections: Mutex<Vec<Arc<Connection>>>,
+    /// Whether responses are held back.
     held: Mutex<bool>,
-    /// New connections are accepted and stay silent.
+    /// Whether new connections are accepted but carry no data.
     mute: AtomicBool,
-    gate: Mutex<Gate>,
+    accept_state: Mutex<AcceptState>,
+    /// Notified when `held` changes.
     release: Condvar,
+    /// Notified when `accept_state` changes.
     wake: Condvar,
 }
 
 #[derive(Default)]
-struct Gate {
-    /// Whether the listener is bound.
-    open: bool,
+struct AcceptState {
+    listening: bool,
+    /// The phase requested; `listening` follows with a delay.
     phase: Phase,
 }
 
@@ -64,12 +66,13 @@
     Up,
     /// The listener is closed.
     Down,
-    /// Ends.
+    /// The listener is closed and the accept thread ends.
     Stopped,
 }
 
-struct Link {
+struct Connection {
     client: TcpStream,
+    /// Whether received data is discarded.
     silent: AtomicBool,
     server: TcpStream,
 }
@@ -84,7 +87,7 @@
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
-        lock(&shared.gate).open = true;
+        lock(&shared.accept_state).listening = true;
         let accept = {
             let shared = Arc::clone(&shared);
             thread::spawn(move || accept(listener, address, upstream, &shared))
@@ -103,19 +106,20 @@
 
     /// Closes all open connections; new ones work.
     pub fn cut(&self) {
-        for link in lock(&self.shared.links).drain(..) {
-            link.close();
+        for connection in lock(&self.shared.connections).drain(..) {
+            connection.close();
         }
     }
 
-    /// Makes all open connections silent for good, without closing them; new ones work.
+    /// Discards all further data on the open connections without closing them; new ones work.
     pub fn silence(&self) {
-        for link in lock(&self.shared.links).iter() {
-            link.silent.store(true, Ordering::Relaxed);
+        for connection in lock(&self.shared.connections).iter() {
+            connection.silent.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Makes all open connections silent and new ones as well, until unset.
+    /// Silences all open connections, and new ones while set. Connections that were silenced stay
+    /// silent.
     pub fn set_partition(&self, on: bool) {
         self.shared.mute.store(on, Ordering::Relaxed);
         if on {
@@ -123,14 +127,14 @@
         }
     }
 
-    /// Keeps answers back until unset, and then delivers them. Requests pass at once, so that what the
-    /// upstream gets was sent when it gets it.
+    /// Holds responses back while set and delivers them afterwards. Requests are relayed without
+    /// delay, so the upstream never receives a request that was sent earlier.
     pub fn set_held(&self, on: bool) {
         *lock(&self.shared.held) = on;
         self.shared.release.notify_all();
     }
 
-    /// Closes the listener and all open connections until unset.
+    /// Closes all open connections and refuses new ones while set.
     pub fn set_down(&self, on: bool) {
         self.set_phase(if on { Phase::Down } else { Phase::Up });
         if on {
@@ -138,20 +142,23 @@
         }
     }
 
-    /// Returns once the listener is closed or bound, as the phase asks.
+    /// Sets the phase and waits until the accept thread has bound or closed the listener, or until
+    /// [`CONNECT_TIMEOUT`].
     fn set_phase(&self, phase: Phase) {
-        lock(&self.shared.gate).phase = phase;
+        lock(&self.shared.accept_state).phase = phase;
         self.shared.wake.notify_all();
         if phase != Phase::Up {
-            // Wakes the thread that waits in accept.
+            // Unblocks the accept thread.
             drop(TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT));
         }
-        let gate = lock(&self.shared.gate);
-        let changing = |gate: &mut Gate| gate.phase == phase && gate.open != (phase == Phase::Up);
+        let state = lock(&self.shared.accept_state);
+        let changing = |state: &mut AcceptState| {
+            state.phase == phase && state.listening != (phase == Phase::Up)
+        };
         drop(
             self.shared
                 .wake
-                .wait_timeout_while(gate, CONNECT_TIMEOUT, changing),
+                .wait_timeout_while(state, CONNECT_TIMEOUT, changing),
         );
     }
 }
@@ -176,7 +183,7 @@
     }
 }
 
-impl Link {
+impl Connection {
     fn close(&self) {
         drop(self.client.shutdown(Shutdown::Both));
         drop(self.server.shutdown(Shutdown::Both));
@@ -187,47 +194,47 @@
     let mut listener = Some(listener);
     loop {
         let phase = {
-            let mut gate = lock(&shared.gate);
-            gate.open = listener.is_some();
+            let mut state = lock(&shared.accept_state);
+            state.listening = listener.is_some();
             shared.wake.notify_all();
-            gate.phase
+            state.phase
         };
         match (phase, &listener) {
             (Phase::Stopped, _) => break,
             (Phase::Down, Some(_)) => listener = None,
             (Phase::Down, None) => {
-                let gate = lock(&shared.gate);
+                let state = lock(&shared.accept_state);
                 drop(
                     shared
                         .wake
-                        .wait_while(gate, |gate| gate.phase == Phase::Down),
+                        .wait_while(state, |state| state.phase == Phase::Down),
                 );
             }
             (Phase::Up, None) => match TcpListener::bind(address) {
                 Ok(bound) => listener = Some(bound),
-                Err(_) => thread::sleep(BIND_RETRY),
+                Err(_) => thread::sleep(RETRY_DELAY),
             },
             (Phase::Up, Some(bound)) => accept_one(bound, upstream, shared),
         }
     }
     drop(listener);
-    lock(&shared.gate).open = false;
+    lock(&shared.accept_state).listening = false;
     shared.wake.notify_all();
 }
 
 fn accept_one(bound: &TcpListener, upstream: SocketAddr, shared: &Arc<Shared>) {
     let accepted = bound.accept();
-    if lock(&shared.gate).phase != Phase::Up {
+    if lock(&shared.accept_state).phase != Phase::Up {
         return;
     }
     match accepted {
-        Ok((client, _)) => drop(link(client, upstream, shared)),
-        Err(_) => thread::sleep(BIND_RETRY),
+        Ok((client, _)) => drop(connect(client, upstream, shared)),
+        Err(_) => thread::sleep(RETRY_DELAY),
     }
 }
 
-fn link(client: TcpStream, upstream: SocketAddr, shared: &Arc<Shared>) -> io::Result<()> {
-    // An upstream that is bound to all addresses is reached over loopback.
+fn connect(client: TcpStream, upstream: SocketAddr, shared: &Arc<Shared>) -> io::Result<()> {
+    // An upstream that listens on all addresses is reached over loopback.
     let upstream = match upstream {
         SocketAddr::V4(v4) if v4.ip().is_unspecified() => (Ipv4Addr::LOCALHOST, v4.port()).into(),
         other => other,
@@ -236,33 +243,37 @@
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let silent = AtomicBool::new(shared.mute.load(Ordering::Relaxed));
-    let link = Arc::new(Link {
+    let connection = Arc::new(Connection {
         client,
         silent,
         server,
     });
-    lock(&shared.links).push(Arc::clone(&link));
-    spawn_copy(&link, shared, true)?;
-    spawn_copy(&link, shared, false)
+    lock(&shared.connections).push(Arc::clone(&connection));
+    spawn_copy(&connection, shared, true)?;
+    spawn_copy(&connection, shared, false)
 }
 
-fn spawn_copy(link: &Arc<Link>, shared: &Arc<Shared>, inward: bool) -> io::Result<()> {
-    let link = Arc::clone(link);
+fn spawn_copy(
+    connection: &Arc<Connection>,
+    shared: &Arc<Shared>,
+    to_server: bool,
+) -> io::Result<()> {
+    let connection = Arc::clone(connection);
     let shared = Arc::clone(shared);
     let copy = move || {
-        let (from, to) = if inward {
-            (&link.client, &link.server)
+        let (from, to) = if to_server {
+            (&connection.client, &connection.server)
         } else {
-            (&link.server, &link.client)
+            (&connection.server, &connection.client)
         };
-        let held = (!inward).then_some(&*shared);
-        copy(from, to, &link.silent, held);
-        // A silent connection tells neither end that the other has gone.
-        if !link.silent.load(Ordering::Relaxed) {
+        let held = (!to_server).then_some(&*shared);
+        copy(from, to, &connection.silent, held);
+        // A silent connection doesn't forward the end of the stream either.
+        if !connection.silent.load(Ordering::Relaxed) {
             drop(to.shutdown(Shutdown::Write));
         }
-        if inward {
-            forget(&link, &shared);
+        if to_server {
+            remove(&connection, &shared);
         }
     };
     thread::Builder::new()
@@ -271,11 +282,11 @@
         .map(drop)
 }
 
-fn forget(link: &Arc<Link>, shared: &Shared) {
-    if link.silent.load(Ordering::Relaxed) {
-        link.close();
+fn remove(connection: &Arc<Connection>, shared: &Shared) {
+    if connection.silent.load(Ordering::Relaxed) {
+        connection.close();
     }
-    lock(&shared.links).retain(|other| !Arc::ptr_eq(other, link));
+    lock(&shared.connections).retain(|other| !Arc::ptr_eq(other, connection));
 }
 
 fn copy(mut from: &TcpStream, mut to: &TcpStream, silent: &AtomicBool, held: Option<&Shared>) {
--- a/crates/godwitspool-fakes/src/scorer.rs
+++ b/crates/godwitspool-fakes/src/scorer.rs
@@ -1,4 +1,4 @@
-//! A service that scores samples.
+//! A fake service that scores samples.
 
 use std::{io, net::SocketAddr, thread, time::Duration};
 
@@ -9,25 +9,25 @@
 
 const HTTP_WORKERS: usize = 8;
 
-/// Asks for the score of an answer, with `POST /score`.
+/// Body of a `POST /score` request, which asks for the score of an answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ScoreRequest {
-    /// Identity of the sample.
+    /// Identifier of the sample, repeated in the response.
     pub sample: String,
     /// Tokens of the answer.
     pub tokens: Vec<String>,
 }
 
-/// The score of an answer.
+/// Response to a [`ScoreRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ScoreResponse {
-    /// Identity of the sample.
+    /// Identifier of the sample.
     pub sample: String,
     /// Score from 0 to 1.
     pub score: f64,
 }
 
-/// Scores answers by their tokens; the same tokens get the same score.
+/// Scores answers by a hash of their tokens, so that the same tokens get the same score.
 ///
 /// ```
 /// use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 }
 
 impl Scorer {
-    /// Starts a scorer that takes this long for a score.
+    /// Starts a scorer that delays each response by `delay_ms`.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Returns the address that it serves on.
+    /// Returns the address that the scorer listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -70,13 +70,13 @@
 fn score(mut request: Request) {
     let body = read_body(&mut request);
     match read_json::<ScoreRequest>(&body) {
-        Ok(asked) => {
-            let bytes = asked.tokens.concat();
+        Ok(params) => {
+            let bytes = params.tokens.concat();
             let score = rapidhash::v3::rapidhash_v3(bytes.as_bytes()) as f64 / u64::MAX as f64;
             respond_json(
                 request,
                 &ScoreResponse {
-                    sample: asked.sample,
+                    sample: params.sample,
                     score,
                 },
             );
--- a/crates/godwitspool-fakes/src/server.rs
+++ b/crates/godwitspool-fakes/src/server.rs
@@ -1,4 +1,5 @@
-//! An HTTP server with a fixed number of worker threads, and answers in JSON.
+//! An HTTP server with a fixed number of worker threads, and functions that read requests and send
+//! responses.
 
 use std::{
     fmt,
@@ -12,9 +13,9 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tiny_http::{Header, Request, Response, Server};
 
-const BODY_LIMIT_BYTES: u64 = 16 << 20;
+const MAX_BODY_BYTES: u64 = 16 << 20;
 
-/// Returns the wall clock in milliseconds, the time of every history record.
+/// Returns the wall clock time in milliseconds since the Unix epoch, as used in history records.
 ///
 /// ```
 /// assert!(godwitspool_fakes::wall_ms() > 1_600_000_000_000);
@@ -25,7 +26,7 @@
         .map_or(0, |span| span.as_millis() as u64)
 }
 
-/// Locks, also when a thread panicked while it held the lock.
+/// Locks a mutex, also after a thread panicked while it held the lock.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -38,7 +39,7 @@
 }
 
 impl HttpServer {
-    /// Binds the address and answers requests on that many threads.
+    /// Binds the address and handles requests on `workers` threads.
     pub(crate) fn start(
         listen: SocketAddr,
         workers: usize,
@@ -91,22 +92,22 @@
     }
 }
 
-/// Reads the body of a request, up to a limit.
+/// Reads the body of a request, up to [`MAX_BODY_BYTES`]. Returns an empty body on a read error.
 pub(crate) fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     let reader = request.as_reader();
-    match reader.take(BODY_LIMIT_BYTES).read_to_end(&mut body) {
+    match reader.take(MAX_BODY_BYTES).read_to_end(&mut body) {
         Ok(_) => body,
         Err(_) => Vec::new(),
     }
 }
 
-/// Reads a body of JSON.
+/// Decodes a JSON body. The error is the text of the response with status 400.
 pub(crate) fn read_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, String> {
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
 
-/// Answers with JSON.
+/// Responds with status 200 and a JSON body.
 pub(crate) fn respond_json(request: Request, value: &impl Serialize) {
     match serde_json::to_vec(value) {
         Ok(body) => {
@@ -121,43 +122,43 @@
     }
 }
 
-/// Answers with a status and a line of text.
+/// Responds with a status and a text body.
 pub(crate) fn respond_status(request: Request, status: u16, text: &str) {
     let response = Response::from_string(text).with_status_code(status);
     drop(request.respond(response));
 }
 
-/// Never answers: the caller sees a connection that stays open and says nothing.
-pub(crate) fn lose_answer(request: Request) {
+/// Sends no response; the caller sees an open connection without data.
+pub(crate) fn leave_unanswered(request: Request) {
     drop(request.into_writer());
 }
 
-/// Finds anything that looks like a caller's key in a request, for the history.
+/// Returns where a request contains text that looks like a caller's API key, for the history.
 pub(crate) fn find_key(request: &Request, body: &[u8]) -> Option<String> {
-    const KEY_MARK: &str = "gsk-";
-    if request.url().contains(KEY_MARK) {
+    const KEY_PREFIX: &str = "gsk-";
+    if request.url().contains(KEY_PREFIX) {
         return Some("url".to_owned());
     }
     let header = request
         .headers()
         .iter()
-        .find(|header| header.value.as_str().contains(KEY_MARK));
+        .find(|header| header.value.as_str().contains(KEY_PREFIX));
     if let Some(header) = header {
         return Some(format!("header {}", header.field));
     }
-    let mut windows = body.windows(KEY_MARK.len());
+    let mut windows = body.windows(KEY_PREFIX.len());
     windows
-        .any(|window| window == KEY_MARK.as_bytes())
+        .any(|window| window == KEY_PREFIX.as_bytes())
         .then(|| "body".to_owned())
 }
 
-/// A stream of server-sent events in chunks, flushed one by one.
+/// A response with server-sent events in chunked encoding; each event is flushed.
 pub(crate) struct EventStream {
     writer: Box<dyn Write + Send>,
 }
 
 impl EventStream {
-    /// Sends the head of the answer.
+    /// Sends the head of the response.
     pub(crate) fn start(request: Request) -> io::Result<Self> {
         let mut writer = request.into_writer();
         writer.write_all(
@@ -168,13 +169,13 @@
         Ok(Self { writer })
     }
 
-    /// Sends one event of JSON.
+    /// Sends a value as one event with JSON data.
     pub(crate) fn send(&mut self, value: &impl Serialize) -> io::Result<()> {
         let json = serde_json::to_string(value).map_err(io::Error::other)?;
         self.send_text(&json)
     }
 
-    /// Sends the last event and ends the body.
+    /// Sends the `[DONE]` event and ends the body.
     pub(crate) fn end(&mut self) -> io::Result<()> {
         self.send_text("[DONE]")?;
         self.writer.write_all(b"0\r\n\r\n")?;
--- a/crates/godwitspool-fakes/src/token.rs
+++ b/crates/godwitspool-fakes/src/token.rs
@@ -1,4 +1,5 @@
-//! Deterministic tokens, so that a checker can tell whether a stitched answer is whole.
+//! Deterministic tokens, which let a test check that an answer assembled from several streams is
+//! complete.
 
 use godwitspool_connection::engine::{Finish, Message};
 use rapidhash::v3::rapidhash_v3;
@@ -23,7 +24,7 @@
     rapidhash_v3(&bytes)
 }
 
-/// Returns the text of the token at an index of the answer to a prompt.
+/// Returns the text of the token at `index` of the answer to a prompt, given as its hash.
 ///
 /// ```
 /// use godwitspool_fakes::token;
@@ -37,9 +38,10 @@
     format!("{:08x} ", rapidhash_v3(&bytes) as u32)
 }
 
-/// Returns how many tokens the answer to a prompt has and why it ends.
+/// Returns the number of tokens in the answer to a prompt, given as its hash, and why the answer
+/// ends.
 ///
-/// One prompt in four uses up the tokens it may; the others stop earlier.
+/// One prompt in four reaches `max_tokens`; the others stop earlier.
 ///
 /// ```
 /// use godwitspool_connection::engine::Finish;
--- a/crates/godwitspool-fakes/src/udp_relay.rs
+++ b/crates/godwitspool-fakes/src/udp_relay.rs
@@ -1,4 +1,4 @@
-//! A UDP relay to one address, which can drop all datagrams.
+//! A UDP relay to one upstream address that can drop all datagrams.
 
 use std::{
     fmt, io,
@@ -13,10 +13,10 @@
 
 use crate::server::lock;
 
-const DATAGRAM_BYTES: usize = 64 << 10;
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A UDP relay between the last sender and one upstream address.
+/// A UDP relay between one upstream address and the client that sent the latest datagram.
 ///
 /// ```
 /// use std::net::UdpSocket;
@@ -36,22 +36,22 @@
 /// ```
 pub struct UdpRelay {
     address: SocketAddr,
-    cut: Arc<AtomicBool>,
+    partitioned: Arc<AtomicBool>,
     stopped: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl UdpRelay {
-    /// Relays between an address and an upstream one.
+    /// Listens on an address and relays datagrams to and from the upstream address.
     ///
     /// # Errors
     ///
-    /// Returns the error of binding an address.
+    /// Returns the error of binding an address or of configuring a socket.
     pub fn start(listen: SocketAddr, upstream: SocketAddr) -> io::Result<Self> {
         let front = Arc::new(UdpSocket::bind(listen)?);
         let back = Arc::new(UdpSocket::bind((upstream.ip(), 0))?);
         let address = front.local_addr()?;
-        let cut = Arc::new(AtomicBool::new(false));
+        let partitioned = Arc::new(AtomicBool::new(false));
         let stopped = Arc::new(AtomicBool::new(false));
         let client = Arc::new(Mutex::new(None::<SocketAddr>));
         let inward = {
@@ -63,12 +63,12 @@
         };
         let outward = move |_| *lock(&client);
         let threads = vec![
-            copy(&front, &back, &cut, &stopped, inward)?,
-            copy(&back, &front, &cut, &stopped, outward)?,
+            copy(&front, &back, &partitioned, &stopped, inward)?,
+            copy(&back, &front, &partitioned, &stopped, outward)?,
         ];
         Ok(Self {
             address,
-            cut,
+            partitioned,
             stopped,
             threads,
         })
@@ -79,9 +79,9 @@
         self.address
     }
 
-    /// Drops all datagrams until unset.
+    /// Drops all datagrams in both directions while set.
     pub fn set_partition(&self, on: bool) {
-        self.cut.store(on, Ordering::Relaxed);
+        self.partitioned.store(on, Ordering::Relaxed);
     }
 }
 
@@ -105,20 +105,20 @@
 fn copy(
     from: &Arc<UdpSocket>,
     to: &Arc<UdpSocket>,
-    cut: &Arc<AtomicBool>,
+    partitioned: &Arc<AtomicBool>,
     stopped: &Arc<AtomicBool>,
     route: impl Fn(SocketAddr) -> Option<SocketAddr> + Send + 'static,
 ) -> io::Result<JoinHandle<()>> {
     from.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
     let (from, to) = (Arc::clone(from), Arc::clone(to));
-    let (cut, stopped) = (Arc::clone(cut), Arc::clone(stopped));
+    let (partitioned, stopped) = (Arc::clone(partitioned), Arc::clone(stopped));
     thread::Builder::new().spawn(move || {
-        let mut buffer = vec![0; DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while !stopped.load(Ordering::Relaxed) {
             let Ok((length, sender)) = from.recv_from(&mut buffer) else {
                 continue;
             };
-            let receiver = route(sender).filter(|_| !cut.load(Ordering::Relaxed));
+            let receiver = route(sender).filter(|_| !partitioned.load(Ordering::Relaxed));
             if let Some(receiver) = receiver {
                 drop(to.send_to(&buffer[..length], receiver));
             }
