--- a/crates/godwitspool-fakes/src/batch.rs
+++ b/crates/godwitspool-fakes/src/batch.rs
@@ -11,32 +11,31 @@
     token::{answer_length, token},
 };
 
-/// A request on the engine.
+/// A generation request that waits or runs on the engine.
 pub(crate) struct Sequence {
-    /// KV blocks that it takes.
+    /// KV blocks reserved while the request runs.
     pub(crate) blocks: u64,
-    /// Index behind the last token of the answer.
+    /// Index after the last token of the answer.
     pub(crate) end: u32,
-    /// Why the answer ends.
+    /// Why the answer ends once it reaches `end`.
     pub(crate) finish: Finish,
     /// Index of the next token.
     pub(crate) next: u32,
     /// Whether the prompt crashes the engine.
     pub(crate) poison: bool,
-    /// Steps of prompt computation that are left.
+    /// Number of remaining prefill steps.
     pub(crate) prefill: u32,
-    /// Hash of prompt and seed.
+    /// Hash of the messages and the seed.
     pub(crate) prompt: u64,
-    /// Identity.
+    /// Identifier of the request on the engine.
     pub(crate) request: String,
-    /// Versions that produced its tokens.
+    /// Weight versions that produced the tokens.
     pub(crate) spans: Vec<VersionSpan>,
-    /// Where tokens go.
     pub(crate) stream: EventStream,
 }
 
 impl Sequence {
-    /// Makes the record of the stream's end.
+    /// Returns the record of the stream's end; `finish` is `None` if it was interrupted.
     pub(crate) fn ended(&self, finish: Option<Finish>) -> EngineEvent {
         EngineEvent::Ended {
             finish,
@@ -46,35 +45,36 @@
         }
     }
 
-    /// Sets where the answer ends.
+    /// Returns the index after the last token of an answer, and why the answer ends there.
     pub(crate) fn end_for(prompt: u64, max_tokens: u32) -> (u32, Finish) {
         answer_length(prompt, max_tokens)
     }
 
-    /// Ends the stream; returns the record.
+    /// Ends the stream and returns the record.
     pub(crate) fn end(mut self, finish: Finish, weights: &WeightVersion) -> EngineEvent {
         let chunk = self.chunk(String::new(), Some(finish), weights);
         let sent = self.stream.send(&chunk).and_then(|()| self.stream.end());
         self.ended(sent.is_ok().then_some(finish))
     }
 
-    /// Computes a part of the prompt or one token.
+    /// Performs one prefill step or sends one token.
     fn advance(&mut self, weights: &WeightVersion) -> Advance {
         if self.prefill > 0 {
             self.prefill -= 1;
-            return Advance::Goes;
+            return Advance::Incomplete;
         }
-        if self.next < self.end && !self.produce(weights) {
-            return Advance::Cut;
+        if self.next < self.end && !self.send_token(weights) {
+            return Advance::Disconnected;
         }
         if self.next < self.end {
-            Advance::Goes
+            Advance::Incomplete
         } else {
             Advance::Done
         }
     }
 
-    fn produce(&mut self, weights: &WeightVersion) -> bool {
+    /// Sends the next token. Returns false if the client has disconnected.
+    fn send_token(&mut self, weights: &WeightVersion) -> bool {
         let chunk = self.chunk(token(self.prompt, self.next), None, weights);
         if self.stream.send(&chunk).is_err() {
             return false;
@@ -105,25 +105,25 @@
     }
 }
 
-/// How a request came out of a step.
+/// State of a request after a step.
 enum Advance {
-    /// The client has gone.
-    Cut,
+    /// The client has disconnected.
+    Disconnected,
     /// The answer is complete.
     Done,
-    /// The answer goes on.
-    Goes,
+    /// More steps are needed.
+    Incomplete,
 }
 
-/// What a step led to.
-pub(crate) struct Stepped {
-    /// Set when a poison prompt started to run.
+/// Result of a step.
+pub(crate) struct StepResult {
+    /// Whether a poison prompt was next to run, which crashes the engine.
     pub(crate) crash: bool,
     /// Records of the streams that ended.
     pub(crate) events: Vec<EngineEvent>,
 }
 
-/// The requests on an engine.
+/// The waiting and running requests of an engine.
 pub(crate) struct Batch {
     kv_total: u64,
     kv_used: u64,
@@ -154,7 +154,7 @@
         self.waiting.push_back(sequence);
     }
 
-    /// Reports the load of this moment.
+    /// Returns the current load.
     pub(crate) fn load(&self, weights: &WeightVersion) -> Load {
         Load {
             kv_used: self.kv_used,
@@ -165,10 +165,10 @@
         }
     }
 
-    /// Admits what fits and produces one token of every running request.
-    pub(crate) fn step(&mut self, weights: &WeightVersion) -> Stepped {
+    /// Admits waiting requests that fit and advances every running request by one step.
+    pub(crate) fn step(&mut self, weights: &WeightVersion) -> StepResult {
         let crash = self.admit();
-        let mut stepped = Stepped {
+        let mut stepped = StepResult {
             crash,
             events: Vec::new(),
         };
@@ -179,12 +179,12 @@
         for mut sequence in self.running.drain(..) {
             let blocks = sequence.blocks;
             let ended = match sequence.advance(weights) {
-                Advance::Cut => sequence.ended(None),
+                Advance::Disconnected => sequence.ended(None),
                 Advance::Done => {
                     let finish = sequence.finish;
                     sequence.end(finish, weights)
                 }
-                Advance::Goes => {
+                Advance::Incomplete => {
                     kept.push(sequence);
                     continue;
                 }
@@ -196,13 +196,14 @@
         stepped
     }
 
-    /// Ends a request by its identity.
+    /// Ends a request and returns the record; `None` if the request is unknown.
     pub(crate) fn cancel(&mut self, request: &str, weights: &WeightVersion) -> Option<EngineEvent> {
         let sequence = self.remove(request)?;
         Some(sequence.end(Finish::Cancelled, weights))
     }
 
-    /// Ends a request and hands out its KV cache.
+    /// Ends a request and returns the handle of its KV cache and the record; `None` if the request
+    /// is unknown.
     pub(crate) fn export(
         &mut self,
         request: &str,
@@ -216,18 +217,20 @@
         Some((handle, sequence.end(Finish::Exported, weights)))
     }
 
-    /// Drops all requests, as a crash does.
+    /// Drops all requests, as a crash does, and returns their records.
     pub(crate) fn clear(&mut self) -> Vec<EngineEvent> {
         self.kv_used = 0;
         let all = self.running.drain(..).chain(self.waiting.drain(..));
         all.map(|sequence| sequence.ended(None)).collect()
     }
 
-    /// Makes a record of every open stream.
+    /// Returns a record for every running stream.
     pub(crate) fn open(&self) -> impl Iterator<Item = EngineEvent> {
         self.running.iter().map(|sequence| sequence.ended(None))
     }
 
+    /// Admits waiting requests in order while their KV blocks fit; a request that is too large is
+    /// admitted once no other one runs. Returns true if a poison prompt is next.
     fn admit(&mut self) -> bool {
         while let Some(next) = self.waiting.front() {
             let fits = self.kv_used + next.blocks <= self.kv_total || self.running.is_empty();
--- a/crates/godwitspool-fakes/src/engine.rs
+++ b/crates/godwitspool-fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine on real sockets.
+//! A fake model engine on real sockets.
 
 use std::{
     collections::VecDeque,
@@ -28,7 +28,7 @@
 const HTTP_WORKERS: usize = 4;
 const IDLE_WAIT: Duration = Duration::from_millis(50);
 
-/// A model engine that batches continuously and streams deterministic tokens.
+/// A fake model engine with continuous batching that streams deterministic tokens.
 ///
 /// ```
 /// use godwitspool_fakes::{Engine, EngineOptions};
@@ -44,11 +44,11 @@
     relay: Arc<Relay>,
     shared: Arc<Shared>,
     stepper: Option<JoinHandle<()>>,
-    // Dropped after the relay, so that its connections have ended.
+    // Dropped last: the relay has then closed the connections to this server.
     _server: HttpServer,
 }
 
-/// What the threads of an engine share.
+/// State that the threads of an engine share.
 pub(crate) struct Shared {
     pub(crate) options: EngineOptions,
     pub(crate) state: Mutex<State>,
@@ -56,12 +56,13 @@
     stopped: AtomicBool,
 }
 
-/// What an engine holds.
+/// Mutable part of [`Shared`].
 pub(crate) struct State {
     pub(crate) batch: Batch,
     pub(crate) cache: PrefixCache,
     pub(crate) crashed: bool,
     pub(crate) history: Vec<EngineRecord>,
+    /// Load reports with their wall clock time in milliseconds, oldest first.
     pub(crate) loads: VecDeque<(u64, Load)>,
     pub(crate) paused: bool,
     pub(crate) swap_fault: SwapFault,
@@ -79,7 +80,7 @@
         let listen = options.listen;
         let state = State {
             batch: Batch::new(options.kv_blocks),
-            cache: PrefixCache::new(options.event_loss),
+            cache: PrefixCache::new(options.loss_interval),
             crashed: false,
             history: Vec::new(),
             loads: VecDeque::new(),
@@ -115,43 +116,44 @@
         })
     }
 
-    /// Returns the address that it serves on.
+    /// Returns the address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.relay.address()
     }
 
-    /// Returns its name.
+    /// Returns the target name, as set in [`EngineOptions::target`].
     pub fn target(&self) -> &TargetName {
         &self.shared.options.target
     }
 
-    /// Returns the relay in front of it, to cut or silence its connections.
+    /// Returns the relay in front of the engine, which can close or silence connections.
     pub fn relay(&self) -> &Relay {
         &self.relay
     }
 
-    /// Returns what it recorded, with the streams that are still open.
+    /// Returns all records, and an [`EngineEvent::Ended`] without a finish for each running stream.
     pub fn history(&self) -> Vec<EngineRecord> {
-        lock(&self.shared.state).history_now(self.target())
+        lock(&self.shared.state).full_history(self.target())
     }
 
-    /// Returns the weight version that produces tokens now.
+    /// Returns the weight version in use.
     pub fn weights(&self) -> WeightVersion {
         lock(&self.shared.state).weights.clone()
     }
 
-    /// Drops all connections and refuses new ones until restarted.
+    /// Closes all connections and refuses new ones until [`restart`](Self::restart).
     pub fn crash(&self) {
         self.shared.crash();
         self.relay.set_down(true);
     }
 
-    /// Returns whether it crashed, by itself or on request.
+    /// Returns whether the engine is down, after a poison prompt or a call of
+    /// [`crash`](Self::crash).
     pub fn is_crashed(&self) -> bool {
         lock(&self.shared.state).crashed
     }
 
-    /// Serves again after a crash, with empty caches and the weights it began with.
+    /// Serves again after a crash, with an empty cache and the initial weight version.
     pub fn restart(&self) {
         {
             let mut state = lock(&self.shared.state);
@@ -161,18 +163,18 @@
         self.relay.set_down(false);
     }
 
-    /// Makes all open connections silent for good; new ones work.
+    /// Stops all traffic on the open connections without closing them; new connections work.
     pub fn silence(&self) {
         self.relay.silence();
     }
 
-    /// Stops producing tokens until unset, with all connections open.
+    /// While set, produces no tokens and keeps all connections open.
     pub fn set_paused(&self, on: bool) {
         lock(&self.shared.state).paused = on;
         self.shared.wake.notify_all();
     }
 
-    /// Sets what goes wrong with weight swaps from now on.
+    /// Sets the fault of all further weight swaps.
     pub fn set_swap_fault(&self, fault: SwapFault) {
         lock(&self.shared.state).swap_fault = fault;
     }
@@ -200,8 +202,8 @@
 }
 
 impl State {
-    /// Returns the history, with a record of what each open stream got so far.
-    pub(crate) fn history_now(&self, target: &TargetName) -> Vec<EngineRecord> {
+    /// Returns the history, and a record of the tokens sent so far for each running stream.
+    pub(crate) fn full_history(&self, target: &TargetName) -> Vec<EngineRecord> {
         let at_ms = wall_ms();
         let open = self.batch.open().map(|event| EngineRecord {
             at_ms,
@@ -213,7 +215,7 @@
 }
 
 impl Shared {
-    /// Ends all streams and refuses new requests.
+    /// Ends all streams and ignores new requests.
     pub(crate) fn crash(&self) {
         let mut state = lock(&self.state);
         if state.crashed {
@@ -245,7 +247,7 @@
     }
 }
 
-/// Steps until the engine is stopped.
+/// Runs steps until the engine is stopped.
 fn run(shared: &Shared, relay: &Relay) {
     let mut due = Instant::now();
     while !shared.stopped.load(Ordering::Relaxed) {
@@ -268,6 +270,8 @@
     }
 }
 
+/// Runs one step and sets when the next one is due. Returns true if a poison prompt crashes the
+/// engine.
 fn step(shared: &Shared, due: &mut Instant) -> bool {
     let mut state = lock(&shared.state);
     let state = &mut *state;
@@ -278,12 +282,12 @@
     }
     let now = wall_ms();
     state.loads.push_back((now, state.batch.load(&weights)));
-    let old = now.saturating_sub(2 * shared.options.load_lag_ms);
-    while state.loads.front().is_some_and(|(at, _)| *at < old) && state.loads.len() > 1 {
+    let oldest = now.saturating_sub(2 * shared.options.load_lag_ms);
+    while state.loads.front().is_some_and(|(at, _)| *at < oldest) && state.loads.len() > 1 {
         state.loads.pop_front();
     }
     let time = shared.step_time(state.batch.len());
-    // A step that came late doesn't make the next ones come sooner.
+    // Steps don't catch up after a late one.
     *due = (*due + time).max(Instant::now());
     stepped.crash
 }
--- a/crates/godwitspool-fakes/src/engine_event.rs
+++ b/crates/godwitspool-fakes/src/engine_event.rs
@@ -1,72 +1,72 @@
-//! What an engine records.
+//! History records of an engine.
 
 use godwitspool_connection::engine::Finish;
 use godwitspool_types::{TargetName, Term, WeightVersion};
 use serde::{Deserialize, Serialize};
 
-/// An event with its time.
+/// An event with its time and engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineRecord {
-    /// Wall clock in milliseconds.
+    /// Wall clock time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What happened.
+    /// Event that the engine recorded.
     pub event: EngineEvent,
-    /// The engine.
+    /// Name of the engine, as set in [`EngineOptions::target`](crate::EngineOptions::target).
     pub target: TargetName,
 }
 
-/// What an engine saw or did.
+/// An event in the history of an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineEvent {
     /// The engine crashed; all its streams ended.
     Crashed,
-    /// A stream ended or was cut.
+    /// A stream ended, or was interrupted by a crash or a disconnect.
     Ended {
-        /// Why it ended; none when it was cut.
+        /// Why the stream ended; `None` if it was interrupted or is still running.
         finish: Option<Finish>,
-        /// Hash of prompt and seed.
+        /// Hash of the messages and the seed.
         prompt: u64,
-        /// Identity on the engine.
+        /// Identifier of the request on the engine.
         request: String,
-        /// Versions that produced its tokens.
+        /// Weight versions that produced the tokens.
         spans: Vec<VersionSpan>,
     },
     /// A request arrived.
     Received {
-        /// Where a caller's key was seen.
+        /// Where the request contained a caller's API key; `None` if it contained none.
         key: Option<String>,
-        /// Most tokens asked for.
+        /// Maximum number of tokens in the answer.
         max_tokens: u32,
-        /// Hash of the prompt alone, as with seed 0.
+        /// Hash of the messages with seed 0.
         messages: u64,
-        /// Hash of prompt and seed.
+        /// Hash of the messages and the seed.
         prompt: u64,
-        /// Identity on the engine.
+        /// Identifier of the request on the engine.
         request: String,
         /// Index of the first token to generate.
         start: u32,
     },
-    /// A request other than a generation carried a caller's key.
+    /// A request other than a generation contained a caller's API key, at the given place.
     KeySeen(String),
-    /// A weight order was answered.
+    /// A weight order was carried out, failed or was refused.
     Swap {
-        /// Whether the order took effect, now or later.
+        /// Whether the order took effect, whatever the response was.
         effective: bool,
-        /// Fencing token.
+        /// Fencing token of the order.
         term: Term,
-        /// Version asked for.
+        /// Requested version.
         version: WeightVersion,
     },
 }
 
-/// A run of tokens that one weight version produced.
+/// A range of consecutive tokens that one weight version produced.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VersionSpan {
     /// Index of the first token.
     pub from: u32,
-    /// Index behind the last token.
+    /// Index after the last token.
     pub to: u32,
-    /// The version.
+    /// Version that produced the tokens.
     pub version: WeightVersion,
 }
--- a/crates/godwitspool-fakes/src/engine_http.rs
+++ b/crates/godwitspool-fakes/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP calls.
+//! The engine's HTTP API.
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -17,23 +17,23 @@
     token::prompt_hash,
 };
 
-const LATE_SWAP: Duration = Duration::from_secs(1);
-const STORE_RETRY: Duration = Duration::from_millis(50);
-const STORE_TRIES: u32 = 100;
-/// Characters of a prompt that make a token.
-const TOKEN_CHARS: usize = 4;
+const LATE_SWAP_DELAY: Duration = Duration::from_secs(1);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_STORE_ATTEMPTS: u32 = 100;
+/// Bytes of prompt text that count as one token.
+const BYTES_PER_TOKEN: usize = 4;
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) fn handle(mut request: Request, shared: &Arc<Shared>) {
     let body = read_body(&mut request);
     let key = find_key(&request, &body);
     let url = request.url().to_owned();
     let parts = url.trim_start_matches('/').split('/').collect::<Vec<_>>();
-    let generates = url == "/v1/chat/completions";
-    if let (Some(place), false) = (&key, generates) {
+    let is_generation = url == "/v1/chat/completions";
+    if let (Some(location), false) = (&key, is_generation) {
         shared.record(
             &mut lock(&shared.state),
-            EngineEvent::KeySeen(place.clone()),
+            EngineEvent::KeySeen(location.clone()),
         );
     }
     match (request.method(), parts.as_slice()) {
@@ -43,7 +43,7 @@
         (Method::Post, ["admin", "weights"]) => swap(request, &body, shared),
         (Method::Get, ["load"]) => load(request, shared),
         (Method::Get, ["history"]) => {
-            let history = lock(&shared.state).history_now(&shared.options.target);
+            let history = lock(&shared.state).full_history(&shared.options.target);
             respond_json(request, &history);
         }
         (Method::Get, [path]) if path.starts_with("cache") => cache(request, path, shared),
@@ -52,31 +52,31 @@
 }
 
 fn generate(request: Request, body: &[u8], key: Option<String>, shared: &Arc<Shared>) {
-    let asked = match read_json::<Generate>(body) {
-        Ok(asked) => asked,
+    let params = match read_json::<Generate>(body) {
+        Ok(params) => params,
         Err(error) => return respond_status(request, 400, &error),
     };
-    if asked.model != shared.options.model {
+    if params.model != shared.options.model {
         return respond_status(request, 404, "no such model");
     }
-    let prompt = prompt_hash(&asked.messages, asked.seed);
-    if asked
+    let prompt = prompt_hash(&params.messages, params.seed);
+    if params
         .kv
         .as_ref()
         .is_some_and(|kv| kv.blob != format!("{prompt:016x}"))
     {
         return respond_status(request, 400, "KV cache of another prompt");
     }
-    let next = asked
+    let next = params
         .kv
         .as_ref()
-        .map_or(asked.resume.len() as u32, |kv| kv.tokens);
+        .map_or(params.resume.len() as u32, |kv| kv.tokens);
     let event = EngineEvent::Received {
         key,
-        max_tokens: asked.max_tokens,
-        messages: prompt_hash(&asked.messages, 0),
+        max_tokens: params.max_tokens,
+        messages: prompt_hash(&params.messages, 0),
         prompt,
-        request: asked.request.clone(),
+        request: params.request.clone(),
         start: next,
     };
     {
@@ -94,13 +94,13 @@
     if state.crashed {
         return;
     }
-    let sequence = sequence(asked, prompt, next, stream, shared, state);
+    let sequence = sequence(params, prompt, next, stream, shared, state);
     state.batch.push(sequence);
     shared.wake.notify_all();
 }
 
 fn sequence(
-    asked: Generate,
+    params: Generate,
     prompt: u64,
     next: u32,
     stream: EventStream,
@@ -108,17 +108,17 @@
     state: &mut State,
 ) -> Sequence {
     let options = &shared.options;
-    let cached = state.cache.touch(&asked.messages, wall_ms());
+    let cached = state.cache.touch(&params.messages, wall_ms());
     let count = |messages: &[_]| prompt_tokens(messages);
-    let fresh = if asked.kv.is_some() {
+    let uncached = if params.kv.is_some() {
         0
     } else {
-        count(&asked.messages[cached..]) + next
+        count(&params.messages[cached..]) + next
     };
-    let tokens = count(&asked.messages) + asked.max_tokens;
-    let (end, finish) = Sequence::end_for(prompt, asked.max_tokens);
+    let tokens = count(&params.messages) + params.max_tokens;
+    let (end, finish) = Sequence::end_for(prompt, params.max_tokens);
     let poison = !options.poison.is_empty()
-        && asked
+        && params
             .messages
             .iter()
             .any(|message| message.content.contains(&options.poison));
@@ -128,20 +128,20 @@
         finish,
         next,
         poison,
-        prefill: fresh / options.prefill_tokens.max(1),
+        prefill: uncached / options.prefill_tokens.max(1),
         prompt,
-        request: asked.request,
+        request: params.request,
         spans: Vec::new(),
         stream,
     }
 }
 
 fn prompt_tokens(messages: &[godwitspool_connection::engine::Message]) -> u32 {
-    let chars = messages
+    let bytes = messages
         .iter()
         .map(|message| message.content.len())
         .sum::<usize>();
-    (chars / TOKEN_CHARS) as u32 + 1
+    (bytes / BYTES_PER_TOKEN) as u32 + 1
 }
 
 fn cancel(request: Request, id: &str, shared: &Shared) {
@@ -170,8 +170,8 @@
 
 fn load(request: Request, shared: &Shared) {
     let state = lock(&shared.state);
-    let seen = wall_ms().saturating_sub(shared.options.load_lag_ms);
-    let lagging = state.loads.iter().rev().find(|(at, _)| *at <= seen);
+    let latest = wall_ms().saturating_sub(shared.options.load_lag_ms);
+    let lagging = state.loads.iter().rev().find(|(at, _)| *at <= latest);
     let load = match lagging {
         Some((_, load)) => load.clone(),
         None => state.batch.load(&state.weights),
@@ -195,7 +195,7 @@
         Err(error) => return respond_status(request, 400, &error),
     };
     let shared = Arc::clone(shared);
-    // Loading takes long, and the calls of others go on meanwhile.
+    // Loading takes long, so it doesn't occupy a worker thread.
     thread::spawn(move || load_weights(request, &order, &shared));
 }
 
@@ -212,11 +212,14 @@
         state.swap_fault
     };
     thread::sleep(Duration::from_millis(shared.options.swap_ms));
-    let fetched = shared.options.store.is_none_or(|store| fetch(store, order));
-    let effective = fetched && matches!(fault, SwapFault::None | SwapFault::Late);
+    let downloaded = shared
+        .options
+        .store
+        .is_none_or(|store| download(store, order));
+    let effective = downloaded && matches!(fault, SwapFault::None | SwapFault::Late);
     if fault == SwapFault::Late {
         respond_status(request, 500, "swap failed");
-        thread::sleep(LATE_SWAP);
+        thread::sleep(LATE_SWAP_DELAY);
         set_weights(shared, order, effective);
         return;
     }
@@ -230,14 +233,14 @@
                 },
             );
         }
-        SwapFault::None if fetched => respond_json(request, &SwapAnswer { weights }),
+        SwapFault::None if downloaded => respond_json(request, &SwapAnswer { weights }),
         _ => respond_status(request, 500, "swap failed"),
     }
 }
 
 fn set_weights(shared: &Shared, order: &SwapOrder, effective: bool) -> WeightVersion {
     let mut state = lock(&shared.state);
-    // A newer order may have come while this one was loading.
+    // An order with a higher term may have arrived while the weights were loading.
     let effective = effective && !(shared.options.fencing && order.term < state.term);
     if effective && !state.crashed {
         state.weights = order.version.clone();
@@ -255,12 +258,13 @@
     }
 }
 
-fn fetch(store: SocketAddr, order: &SwapOrder) -> bool {
+/// Downloads the weights and retries while the store limits the rate. Returns whether it succeeded.
+fn download(store: SocketAddr, order: &SwapOrder) -> bool {
     let url = format!("http://{store}/weights/{}/{}", order.model, order.version);
-    for _ in 0..STORE_TRIES {
+    for _ in 0..MAX_STORE_ATTEMPTS {
         match ureq::get(&url).call() {
             Ok(mut answer) => return answer.body_mut().read_to_vec().is_ok(),
-            Err(ureq::Error::StatusCode(429)) => thread::sleep(STORE_RETRY),
+            Err(ureq::Error::StatusCode(429)) => thread::sleep(STORE_RETRY_DELAY),
             Err(_) => return false,
         }
     }
--- a/crates/godwitspool-fakes/src/engine_options.rs
+++ b/crates/godwitspool-fakes/src/engine_options.rs
@@ -15,37 +15,37 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Tokens of a KV block.
+    /// Tokens per KV block.
     pub block_tokens: u32,
-    /// Age at which cache events are published, in milliseconds.
+    /// Delay before cache events are published, in milliseconds.
     pub event_lag_ms: u64,
-    /// One cache event in this many is lost; 0 for none.
-    pub event_loss: u64,
-    /// Whether orders with an old term are refused.
+    /// One cache event in this many is lost; 0 loses none.
+    pub loss_interval: u64,
+    /// Whether weight orders with a term below the highest seen are refused.
     pub fencing: bool,
-    /// KV blocks that there are.
+    /// Number of KV blocks.
     pub kv_blocks: u64,
     /// Address to listen on; port 0 for any.
     pub listen: SocketAddr,
-    /// Age of the load report, in milliseconds.
+    /// Minimum age of the load report that is served, in milliseconds.
     pub load_lag_ms: u64,
-    /// Model served.
+    /// Model served. Requests for other models get status 404.
     pub model: ModelName,
-    /// A prompt that contains this text crashes the engine.
+    /// A prompt that contains this text crashes the engine; empty for none.
     pub poison: String,
-    /// Prompt tokens that a step computes for one request before its first token.
+    /// Prompt tokens processed per step for a request that has no token yet.
     pub prefill_tokens: u32,
-    /// Time of a step per running request, in microseconds.
+    /// Additional step time per running request, in microseconds.
     pub request_us: u64,
-    /// Time of a step, in milliseconds.
+    /// Base time of a step, in milliseconds.
     pub step_ms: u64,
-    /// Weight store to load weights from; none to load them from nowhere.
+    /// Weight store to download weights from; `None` skips the download.
     pub store: Option<SocketAddr>,
-    /// Time to load weights, in milliseconds.
+    /// Time that a weight swap takes in addition to the download, in milliseconds.
     pub swap_ms: u64,
-    /// Name in the history.
+    /// Target name in history records.
     pub target: TargetName,
-    /// Weight version at the start.
+    /// Initial weight version, also in use again after a restart.
     pub weights: WeightVersion,
 }
 
@@ -54,7 +54,7 @@
         Self {
             block_tokens: 16,
             event_lag_ms: 500,
-            event_loss: 20,
+            loss_interval: 20,
             fencing: true,
             kv_blocks: 1_024,
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -72,17 +72,17 @@
     }
 }
 
-/// What goes wrong with weight swaps.
+/// Fault of weight swaps.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SwapFault {
-    /// The swap fails with status 500 and changes nothing.
+    /// The swap fails with status 500 and the old version stays in use.
     Fails,
-    /// The answer names the new version, but the old one stays in use.
+    /// The response names the new version, but the old one stays in use.
     FalseSuccess,
-    /// The answer is status 500, but the version changes a second later.
+    /// The response has status 500, but the new version takes effect one second later.
     Late,
-    /// Nothing goes wrong.
+    /// No fault.
     #[default]
     None,
 }
--- a/crates/godwitspool-fakes/src/plain_service.rs
+++ b/crates/godwitspool-fakes/src/plain_service.rs
@@ -1,4 +1,4 @@
-//! A plain service that echoes what it is asked and counts its calls.
+//! A fake plain service that echoes calls and counts them.
 
 use std::{
     fmt, io,
@@ -30,13 +30,13 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct PlainOptions {
-    /// Time that a call takes, in milliseconds.
+    /// Time that a call takes before the response, in milliseconds.
     pub delay_ms: u64,
     /// Address to listen on; port 0 for any.
     pub listen: SocketAddr,
-    /// A call whose URL or body contains this text crashes the service.
+    /// A call whose URL or body contains this text crashes the service; empty for none.
     pub poison: String,
-    /// Name in the history.
+    /// Target name in history records.
     pub target: TargetName,
 }
 
@@ -51,39 +51,40 @@
     }
 }
 
-/// What goes wrong with answers.
+/// Fault of responses.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlainFault {
-    /// The call runs, and the connection is cut in the middle of the answer.
+    /// The call runs, and all connections are closed in the middle of its response.
     Cut,
-    /// The call runs, and the answer never comes.
+    /// The call runs, but no response is sent.
     Lost,
-    /// Nothing goes wrong.
+    /// No fault.
     #[default]
     None,
 }
 
-/// A call that ran on a plain service, and the answer's body.
+/// History record of a call that ran on a plain service.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlainCall {
-    /// Wall clock in milliseconds.
+    /// Wall clock time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Body of the call.
+    /// Body of the request; invalid UTF-8 is replaced.
     pub body: String,
-    /// Identity: the query's `call=`, or empty.
+    /// Identifier from the query parameter `call`; empty if there is none.
     pub call: String,
-    /// Where a caller's key was seen.
+    /// Where the request contained a caller's API key; `None` if it contained none.
     pub key: Option<String>,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// The service.
+    /// Name of the service, as set in [`PlainOptions::target`].
     pub target: TargetName,
     /// Path and query.
     pub url: String,
 }
 
-/// A plain service. `?call=ID` names a call for counting, `?status=N` asks for a status.
+/// A fake plain service. The query parameter `call` identifies a call for counting, and `status`
+/// sets the status of the response.
 ///
 /// ```
 /// use godwitspool_fakes::{PlainOptions, PlainService};
@@ -97,7 +98,7 @@
 pub struct PlainService {
     relay: Arc<Relay>,
     shared: Arc<Shared>,
-    // Dropped after the relay, so that its connections have ended.
+    // Dropped last: the relay has then closed the connections to this server.
     _server: HttpServer,
 }
 
@@ -140,17 +141,17 @@
         })
     }
 
-    /// Returns the address that it serves on.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.relay.address()
     }
 
-    /// Returns its name.
+    /// Returns the target name, as set in [`PlainOptions::target`].
     pub fn target(&self) -> &TargetName {
         &self.shared.options.target
     }
 
-    /// Returns the relay in front of it, to cut or silence its connections.
+    /// Returns the relay in front of the service, which can close or silence connections.
     pub fn relay(&self) -> &Relay {
         &self.relay
     }
@@ -160,7 +161,7 @@
         lock(&self.shared.state).history.clone()
     }
 
-    /// Counts the calls that ran under an identity.
+    /// Returns the number of calls that ran with this identifier.
     pub fn calls(&self, call: &str) -> usize {
         let state = lock(&self.shared.state);
         state
@@ -170,18 +171,19 @@
             .count()
     }
 
-    /// Sets what goes wrong with answers from now on.
+    /// Sets the fault of all further responses.
     pub fn set_fault(&self, fault: PlainFault) {
         lock(&self.shared.state).fault = fault;
     }
 
-    /// Drops all connections and refuses new ones until restarted.
+    /// Closes all connections and refuses new ones until [`restart`](Self::restart).
     pub fn crash(&self) {
         lock(&self.shared.state).crashed = true;
         self.relay.set_down(true);
     }
 
-    /// Returns whether it crashed, by itself or on request.
+    /// Returns whether the service is down, after a poison call or a call of
+    /// [`crash`](Self::crash).
     pub fn is_crashed(&self) -> bool {
         lock(&self.shared.state).crashed
     }
@@ -209,7 +211,7 @@
     }
 }
 
-/// What a call is answered.
+/// JSON body of a response.
 #[derive(Serialize)]
 struct Echo<'a> {
     body: &'a str,
@@ -223,7 +225,9 @@
     let call = PlainCall {
         at_ms: wall_ms(),
         body: String::from_utf8_lossy(&body).into_owned(),
-        call: query(request.url(), "call").unwrap_or_default().to_owned(),
+        call: query_value(request.url(), "call")
+            .unwrap_or_default()
+            .to_owned(),
         key: find_key(&request, &body),
         method: request.method().to_string(),
         target: shared.options.target.clone(),
@@ -250,14 +254,14 @@
     }
     thread::sleep(Duration::from_millis(shared.options.delay_ms));
     match fault {
-        PlainFault::Cut => cut_answer(request, relay.as_deref()),
+        PlainFault::Cut => cut_response(request, relay.as_deref()),
         PlainFault::Lost => leave_unanswered(request),
-        PlainFault::None => answer(request, &call),
+        PlainFault::None => respond_echo(request, &call),
     }
 }
 
-fn answer(request: Request, call: &PlainCall) {
-    let status = query(&call.url, "status").and_then(|text| text.parse().ok());
+fn respond_echo(request: Request, call: &PlainCall) {
+    let status = query_value(&call.url, "status").and_then(|text| text.parse().ok());
     let echo = Echo {
         body: &call.body,
         call: &call.call,
@@ -273,7 +277,8 @@
     }
 }
 
-fn cut_answer(request: Request, relay: Option<&Relay>) {
+/// Sends a part of a response and closes all connections.
+fn cut_response(request: Request, relay: Option<&Relay>) {
     let mut writer = request.into_writer();
     drop(writer.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf"));
     drop(writer.flush());
@@ -282,7 +287,7 @@
     }
 }
 
-fn query<'a>(url: &'a str, name: &str) -> Option<&'a str> {
+fn query_value<'a>(url: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = url.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
