--- a/crates/godwitspool-fakes/examples/streams.rs
+++ b/crates/godwitspool-fakes/examples/streams.rs
@@ -1,4 +1,5 @@
-//! Measures how well the stand-in engines keep their pace: `streams [ENGINES [STREAMS]]`.
+//! Measures whether fake engines reach their configured token rate: `streams [ENGINES [STREAMS]]`.
+//! `STREAMS` is the number of concurrent streams per engine.
 
 use std::{
     io::{BufRead, BufReader},
@@ -10,7 +11,7 @@
 use godwitspool_connection::engine::{Generate, Message};
 use godwitspool_fakes::{Engine, EngineOptions};
 
-const TOKENS: u32 = 400;
+const MAX_TOKENS: u32 = 400;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut counts = std::env::args().skip(1).map(|text| text.parse::<usize>());
@@ -30,22 +31,22 @@
             for stream in 0..streams {
                 let (tokens, slowest_us) = (&tokens, &slowest_us);
                 scope.spawn(move || {
-                    let (got, time) = read(engine, stream);
-                    tokens.fetch_add(got, Ordering::Relaxed);
-                    let each_us = time.as_micros() as u64 / got.max(1);
-                    slowest_us.fetch_max(each_us, Ordering::Relaxed);
+                    let (received, time) = read(engine, stream);
+                    tokens.fetch_add(received, Ordering::Relaxed);
+                    let token_us = time.as_micros() as u64 / received.max(1);
+                    slowest_us.fetch_max(token_us, Ordering::Relaxed);
                 });
             }
         }
     });
     let seconds = start.elapsed().as_secs_f64();
     let tokens = tokens.load(Ordering::Relaxed);
-    let pace_us = options.step_ms * 1_000 + options.request_us * streams as u64;
+    let expected_us = options.step_ms * 1_000 + options.request_us * streams as u64;
     println!(
         "{} engines of {streams} streams: {tokens} tokens in {seconds:.1} s",
         engines.len()
     );
-    println!("asked for one token in {pace_us} us a stream at full batch");
+    println!("expected at full batch: one token per stream in {expected_us} us");
     println!(
         "slowest stream: one token in {} us",
         slowest_us.load(Ordering::Relaxed)
@@ -53,9 +54,10 @@
     Ok(())
 }
 
+/// Reads one stream and returns its number of tokens and the time taken.
 fn read(engine: &Engine, stream: usize) -> (u64, Duration) {
-    let asked = Generate {
-        max_tokens: TOKENS,
+    let params = Generate {
+        max_tokens: MAX_TOKENS,
         messages: vec![Message {
             content: format!("{stream}"),
             role: "user".into(),
@@ -67,7 +69,7 @@
     };
     let start = Instant::now();
     let url = format!("http://{}/v1/chat/completions", engine.address());
-    let Ok(answer) = ureq::post(url).send_json(&asked) else {
+    let Ok(answer) = ureq::post(url).send_json(&params) else {
         return (0, start.elapsed());
     };
     let lines = BufReader::new(answer.into_body().into_reader()).lines();
--- a/crates/godwitspool-fakes/src/fleet.rs
+++ b/crates/godwitspool-fakes/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The platform's targets: ordered, started, stopped, reclaimed and restarted.
+//! The targets that the platform runs, and the orders that start and stop them.
 
 use std::{collections::BTreeMap, io, net::SocketAddr, sync::Arc};
 
@@ -17,18 +17,23 @@
 /// The targets of the platform.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
+    /// Answers to orders that were carried out, by order identifier.
     answers: BTreeMap<String, OrderAnswer>,
     classes: BTreeMap<ClassName, ClassOptions>,
-    cost_ms: BTreeMap<ClassName, u64>,
+    /// Billed time of ended targets, in milliseconds.
+    billed_ms: BTreeMap<ClassName, u64>,
     ended: Vec<Target>,
+    /// Events since the last [`Fleet::take_events`].
     events: Vec<PlatformEvent>,
-    next: u64,
+    /// Number of targets launched so far, part of their names.
+    launched: u64,
     targets: BTreeMap<TargetName, Running>,
+    /// Highest term seen by class.
     terms: BTreeMap<ClassName, Term>,
     unavailable: bool,
 }
 
-/// A running target.
+/// A target of either kind.
 #[derive(Clone, Debug)]
 pub(crate) enum Target {
     /// An engine.
@@ -37,12 +42,15 @@
     Plain(Arc<PlainService>),
 }
 
+/// A target that has not ended. Times are wall clock times in milliseconds.
 #[derive(Debug)]
 struct Running {
+    /// When a crash was detected.
     crashed_ms: Option<u64>,
+    /// When a starting target begins to serve, or a leaving or reclaimed one ends.
     due_ms: u64,
     entry: TargetEntry,
-    since_ms: u64,
+    launched_ms: u64,
     target: Target,
 }
 
@@ -84,8 +92,8 @@
         }
     }
 
-    /// Refuses connections until restarted.
-    fn hold(&self) {
+    /// Refuses connections until the target is restarted.
+    fn close(&self) {
         match self {
             Self::Engine(engine) => engine.relay().set_down(true),
             Self::Plain(plain) => plain.relay().set_down(true),
@@ -101,7 +109,7 @@
 }
 
 impl Fleet {
-    /// Starts the targets that run from the start.
+    /// Starts the initial targets of each class.
     pub(crate) fn start(classes: Vec<ClassOptions>, now_ms: u64) -> io::Result<Self> {
         let mut fleet = Self::default();
         for options in classes {
@@ -116,7 +124,8 @@
         Ok(fleet)
     }
 
-    /// Carries out an order, once.
+    /// Carries out an order, or returns the earlier answer if it was carried out before. A fenced
+    /// order doesn't count as carried out.
     pub(crate) fn order(&mut self, order: &TargetOrder, now_ms: u64) -> OrderAnswer {
         if let Some(answer) = self.answers.get(&order.order) {
             return answer.clone();
@@ -128,12 +137,12 @@
         answer
     }
 
-    /// Returns whether an order with this identity was carried out before.
-    pub(crate) fn knows(&self, order: &str) -> bool {
+    /// Returns whether an order with this identifier was carried out before.
+    pub(crate) fn has_order(&self, order: &str) -> bool {
         self.answers.contains_key(order)
     }
 
-    /// Starts and ends what is due.
+    /// Performs the state changes and restarts that are due.
     pub(crate) fn tick(&mut self, now_ms: u64) {
         let mut ended = Vec::new();
         for (name, running) in &mut self.targets {
@@ -166,7 +175,8 @@
         }
     }
 
-    /// Gives notice to the reclaimable targets of a data centre.
+    /// Marks the reclaimable targets of a data centre as reclaimed and returns their names. They end
+    /// after `notice_ms`.
     pub(crate) fn reclaim(&mut self, dc: &Dc, notice_ms: u64, now_ms: u64) -> Vec<TargetName> {
         let mut names = Vec::new();
         for (name, running) in &mut self.targets {
@@ -183,12 +193,12 @@
         names
     }
 
-    /// Sets whether no targets are to be had.
+    /// Sets whether start orders are answered with [`OrderAnswer::NoneAvailable`].
     pub(crate) fn set_unavailable(&mut self, on: bool) {
         self.unavailable = on;
     }
 
-    /// Returns the list as it is now.
+    /// Returns the entries of all targets that have not ended.
     pub(crate) fn list(&self) -> TargetList {
         TargetList {
             targets: self
@@ -199,30 +209,31 @@
         }
     }
 
-    /// Returns all targets there were.
+    /// Returns all targets started so far, including those that have ended.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Target> {
         self.ended
             .iter()
             .chain(self.targets.values().map(|running| &running.target))
     }
 
-    /// Returns the targets that run.
+    /// Returns the targets that have not ended.
     pub(crate) fn running(&self) -> impl Iterator<Item = (&TargetEntry, &Target)> {
         self.targets
             .values()
             .map(|running| (&running.entry, &running.target))
     }
 
-    /// Returns the time paid for, by class, in milliseconds.
-    pub(crate) fn cost(&self, now_ms: u64) -> BTreeMap<ClassName, u64> {
-        let mut cost = self.cost_ms.clone();
+    /// Returns the total time from launch to end of all targets, by class, in milliseconds.
+    pub(crate) fn billed_ms(&self, now_ms: u64) -> BTreeMap<ClassName, u64> {
+        let mut billed_ms = self.billed_ms.clone();
         for running in self.targets.values() {
-            *cost.entry(running.entry.class.clone()).or_default() += now_ms - running.since_ms;
+            *billed_ms.entry(running.entry.class.clone()).or_default() +=
+                now_ms - running.launched_ms;
         }
-        cost
+        billed_ms
     }
 
-    /// Takes the events since the last call.
+    /// Returns and removes the events since the last call.
     pub(crate) fn take_events(&mut self) -> Vec<PlatformEvent> {
         std::mem::take(&mut self.events)
     }
@@ -253,8 +264,8 @@
             .targets
             .values()
             .filter(|running| running.entry.class == order.class && running.entry.dc == order.dc);
-        let most = options.available.get(&order.dc).copied().unwrap_or(0);
-        let free = (most as usize).saturating_sub(of_class.count());
+        let max_targets = options.available.get(&order.dc).copied().unwrap_or(0);
+        let free = (max_targets as usize).saturating_sub(of_class.count());
         let count = free.min(count as usize);
         if self.unavailable || count == 0 {
             return OrderAnswer::NoneAvailable;
@@ -292,10 +303,10 @@
         start_ms: u64,
         now_ms: u64,
     ) -> io::Result<TargetName> {
-        self.next += 1;
-        let name = TargetName::from(format!("{}-{dc}-{}", options.class, self.next));
+        self.launched += 1;
+        let name = TargetName::from(format!("{}-{dc}-{}", options.class, self.launched));
         let target = Target::start(options, &name)?;
-        target.hold();
+        target.close();
         let model = match &options.kind {
             TargetKind::Engine(engine) => engine.model.clone(),
             TargetKind::Plain(_) => ModelName::default(),
@@ -316,7 +327,7 @@
             crashed_ms: None,
             due_ms,
             entry,
-            since_ms: now_ms,
+            launched_ms: now_ms,
             target,
         };
         self.targets.insert(name.clone(), running);
@@ -326,8 +337,8 @@
     fn end(&mut self, name: &TargetName, now_ms: u64) {
         if let Some(running) = self.targets.remove(name) {
             running.target.crash();
-            let cost = self.cost_ms.entry(running.entry.class).or_default();
-            *cost += now_ms - running.since_ms;
+            let billed_ms = self.billed_ms.entry(running.entry.class).or_default();
+            *billed_ms += now_ms - running.launched_ms;
             self.ended.push(running.target);
             self.events.push(target_event(name, None));
         }
--- a/crates/godwitspool-fakes/src/platform.rs
+++ b/crates/godwitspool-fakes/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform on real sockets: log, lists, orders, usage reports and weight store.
+//! A fake platform on real sockets: log, host and target lists, orders, usage reports and weight
+//! store.
 
 use std::{
     collections::BTreeMap,
@@ -31,9 +32,10 @@
 
 const HTTP_WORKERS: usize = 16;
 const VIEW_WORKERS: usize = 8;
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The platform.
+/// A fake platform that serves the protocol of [`godwitspool_connection::platform`] and runs fake
+/// targets.
 ///
 /// ```
 /// use godwitspool_fakes::{Platform, PlatformOptions};
@@ -51,38 +53,43 @@
     views: Mutex<BTreeMap<Dc, View>>,
 }
 
-/// A listener of its own for a data centre, which can be cut off.
+/// A separate listener for one data centre, behind a relay that can silence or delay it.
 struct View {
     relay: Relay,
-    // Dropped after the relay, so that its connections have ended.
+    // Dropped last: the relay has then closed the connections to this server.
     _server: HttpServer,
 }
 
-/// What the threads of the platform share.
+/// State that the threads of the platform share.
 pub(crate) struct Shared {
     pub(crate) options: PlatformOptions,
     pub(crate) state: Mutex<State>,
     stopped: AtomicBool,
 }
 
-/// What the platform holds.
+/// Mutable part of [`Shared`].
 pub(crate) struct State {
     pub(crate) appends: RateLimit,
     pub(crate) downloads: RateLimit,
     pub(crate) fleet: Fleet,
     pub(crate) history: Vec<PlatformRecord>,
+    /// Host list by view; `None` is the common address.
     pub(crate) hosts: BTreeMap<Option<Dc>, Lagging<HostList>>,
     pub(crate) log: Log,
+    /// Number of further answers to lose.
     pub(crate) lost_answers: u32,
-    pub(crate) others: Vec<TargetEntry>,
+    /// Targets listed in addition to those of `fleet`.
+    pub(crate) external_targets: Vec<TargetEntry>,
     pub(crate) outage: bool,
+    /// First usage report of each window.
     pub(crate) reports: BTreeMap<u64, UsageReport>,
-    pub(crate) slow_ms: u64,
+    /// Delay of every request in milliseconds.
+    pub(crate) latency_ms: u64,
     pub(crate) targets: Lagging<TargetList>,
 }
 
 impl Platform {
-    /// Starts the platform and the targets that run from the start.
+    /// Starts the platform and the initial targets of each class.
     ///
     /// # Errors
     ///
@@ -97,10 +104,10 @@
             hosts: BTreeMap::new(),
             log: Log::new(options.retention),
             lost_answers: 0,
-            others: Vec::new(),
+            external_targets: Vec::new(),
             outage: false,
             reports: BTreeMap::new(),
-            slow_ms: 0,
+            latency_ms: 0,
             targets: Lagging::new(options.lag_ms),
         };
         state.set_hosts(None, options.hosts.clone(), options.lag_ms);
@@ -123,7 +130,7 @@
             thread::spawn(move || {
                 while !shared.stopped.load(Ordering::Relaxed) {
                     lock(&shared.state).tick(wall_ms());
-                    thread::sleep(TICK);
+                    thread::sleep(TICK_INTERVAL);
                 }
             })
         };
@@ -135,33 +142,34 @@
         })
     }
 
-    /// Returns the address that it serves on.
+    /// Returns the common address, which all data centres can use.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Returns what it recorded.
+    /// Returns all history records.
     pub fn history(&self) -> Vec<PlatformRecord> {
         lock(&self.shared.state).history.clone()
     }
 
-    /// Returns the log's records from an offset on.
+    /// Returns the retained log records from an offset on.
     pub fn log(&self, from: Offset) -> Vec<LogRecord> {
         lock(&self.shared.state).log.page(from, usize::MAX).records
     }
 
-    /// Appends a record as an operator does.
+    /// Appends a record as an operator does, without the rate limit and without a history record.
     pub fn append(&self, body: impl Into<String>) -> Offset {
         lock(&self.shared.state).log.append(vec![body.into()])
     }
 
-    /// Sets the hosts; readers see them later.
+    /// Sets the host list. Readers see it after [`PlatformOptions::lag_ms`].
     pub fn set_hosts(&self, hosts: Vec<HostEntry>) {
         let lag_ms = self.shared.options.lag_ms;
         lock(&self.shared.state).set_hosts(None, hosts, lag_ms);
     }
 
-    /// Opens an address for one data centre, where hosts may have addresses of their own.
+    /// Opens a separate address for one data centre, with its own host list. Host addresses in it can
+    /// differ from those in the common list.
     ///
     /// # Errors
     ///
@@ -170,9 +178,9 @@
         self.set_view_hosts(dc, hosts);
         let local = SocketAddr::from(([127, 0, 0, 1], 0));
         let shared = Arc::clone(&self.shared);
-        let seen_by = dc.clone();
+        let view_dc = dc.clone();
         let server = HttpServer::start(local, VIEW_WORKERS, move |request| {
-            platform_http::handle(request, &shared, Some(&seen_by));
+            platform_http::handle(request, &shared, Some(&view_dc));
         })?;
         let relay = Relay::start(local, server.address())?;
         let address = relay.address();
@@ -184,68 +192,68 @@
         Ok(address)
     }
 
-    /// Sets the hosts as one data centre is to see them.
+    /// Sets the host list at the address of one data centre. Readers see it after
+    /// [`PlatformOptions::lag_ms`].
     pub fn set_view_hosts(&self, dc: &Dc, hosts: Vec<HostEntry>) {
         let lag_ms = self.shared.options.lag_ms;
         lock(&self.shared.state).set_hosts(Some(dc), hosts, lag_ms);
     }
 
-    /// Cuts a data centre's view off until unset: connections stay open and say nothing.
+    /// Silences all open connections to the address of a data centre, and new ones while set, without
+    /// closing them.
     pub fn set_view_partition(&self, dc: &Dc, on: bool) {
         if let Some(view) = lock(&self.views).get(dc) {
             view.relay.set_partition(on);
         }
     }
 
-    /// Keeps the platform's answers to a data centre back until unset.
+    /// Holds back the responses at the address of a data centre while set, and sends them afterwards.
     pub fn set_view_held(&self, dc: &Dc, on: bool) {
         if let Some(view) = lock(&self.views).get(dc) {
             view.relay.set_held(on);
         }
     }
 
-    /// Lists targets that run elsewhere, beside those that the platform started.
+    /// Sets targets to list in addition to those that the platform started.
     pub fn set_targets(&self, targets: Vec<TargetEntry>) {
-        lock(&self.shared.state).others = targets;
+        lock(&self.shared.state).external_targets = targets;
     }
 
-    // ---- Faults ----
-
-    /// Makes the log refuse all calls until unset.
+    /// While set, log reads and appends fail with status 503.
     pub fn set_outage(&self, on: bool) {
         lock(&self.shared.state).outage = on;
     }
 
-    /// Loses the answers to this many appends, orders and reports, which take effect.
+    /// Sends no response to the next `count` appends, orders and usage reports, which still take
+    /// effect.
     pub fn lose_answers(&self, count: u32) {
         lock(&self.shared.state).lost_answers = count;
     }
 
-    /// Delays every answer by this time, in milliseconds.
+    /// Delays every request by this time before it is handled.
     pub fn set_slow(&self, delay_ms: u64) {
-        lock(&self.shared.state).slow_ms = delay_ms;
+        lock(&self.shared.state).latency_ms = delay_ms;
     }
 
-    /// Gives notice to the reclaimable targets of a data centre and returns their names.
+    /// Reclaims the reclaimable targets of a data centre: they end after `notice_ms`. Returns their
+    /// names.
     pub fn reclaim(&self, dc: &Dc, notice_ms: u64) -> Vec<TargetName> {
         lock(&self.shared.state)
             .fleet
             .reclaim(dc, notice_ms, wall_ms())
     }
 
-    /// Answers orders to start with "none available" until unset.
+    /// While set, start orders are answered with `OrderAnswer::NoneAvailable`.
     pub fn set_unavailable(&self, on: bool) {
         lock(&self.shared.state).fleet.set_unavailable(on);
     }
 
-    // ---- Targets ----
-
-    /// Returns the targets as they are now, without the lag.
+    /// Returns the current targets that the platform started, without the lag of the list.
     pub fn targets(&self) -> Vec<TargetEntry> {
         lock(&self.shared.state).fleet.list().targets
     }
 
-    /// Returns all engines there were, those that ended included.
+    /// Returns all engines started so far, including those that have ended.
     pub fn engines(&self) -> Vec<Arc<Engine>> {
         let state = lock(&self.shared.state);
         let engines = state.fleet.all().filter_map(|target| match target {
@@ -255,7 +263,7 @@
         engines.collect()
     }
 
-    /// Returns the engines that run.
+    /// Returns the engines that have not ended.
     pub fn running_engines(&self) -> Vec<Arc<Engine>> {
         let state = lock(&self.shared.state);
         let engines = state
@@ -268,7 +276,7 @@
         engines.collect()
     }
 
-    /// Returns the plain services that run.
+    /// Returns the plain services that have not ended.
     pub fn running_plain_services(&self) -> Vec<Arc<PlainService>> {
         let state = lock(&self.shared.state);
         let services = state
@@ -281,7 +289,7 @@
         services.collect()
     }
 
-    /// Returns all plain services there were, those that ended included.
+    /// Returns all plain services started so far, including those that have ended.
     pub fn plain_services(&self) -> Vec<Arc<PlainService>> {
         let state = lock(&self.shared.state);
         let services = state.fleet.all().filter_map(|target| match target {
@@ -291,9 +299,9 @@
         services.collect()
     }
 
-    /// Returns the time paid for, by class, in milliseconds.
+    /// Returns the total time from launch to end of all targets, by class, in milliseconds.
     pub fn billed_ms(&self) -> BTreeMap<ClassName, u64> {
-        lock(&self.shared.state).fleet.cost(wall_ms())
+        lock(&self.shared.state).fleet.billed_ms(wall_ms())
     }
 }
 
@@ -323,7 +331,7 @@
         });
     }
 
-    /// Sets the hosts as a view sees them.
+    /// Sets the host list of a view; `None` is the common address.
     fn set_hosts(&mut self, view: Option<&Dc>, hosts: Vec<HostEntry>, lag_ms: u64) {
         let seen = self
             .hosts
@@ -332,20 +340,20 @@
         seen.set(HostList { hosts }, wall_ms());
     }
 
-    /// Returns the hosts as a view sees them now.
+    /// Returns the host list that a view serves now; `None` is the common address.
     pub(crate) fn hosts(&mut self, view: Option<&Dc>) -> HostList {
         let hosts = self.hosts.get_mut(&view.cloned());
         hosts.map(|hosts| hosts.get(wall_ms())).unwrap_or_default()
     }
 
-    /// Moves targets on and publishes their list.
+    /// Updates the targets that are due and publishes the target list.
     pub(crate) fn tick(&mut self, now_ms: u64) {
         self.fleet.tick(now_ms);
         for event in self.fleet.take_events() {
             self.record(event);
         }
         let mut list = self.fleet.list();
-        list.targets.extend(self.others.iter().cloned());
+        list.targets.extend(self.external_targets.iter().cloned());
         self.targets.set(list, now_ms);
     }
 }
--- a/crates/godwitspool-fakes/src/platform_event.rs
+++ b/crates/godwitspool-fakes/src/platform_event.rs
@@ -1,4 +1,4 @@
-//! What the platform records.
+//! History records of the platform.
 
 use godwitspool_connection::platform::{OrderAnswer, TargetOrder, TargetState, UsageReport};
 use godwitspool_types::{Offset, TargetName};
@@ -7,44 +7,45 @@
 /// An event with its time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlatformRecord {
-    /// Wall clock in milliseconds.
+    /// Wall clock time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What happened.
+    /// Event that the platform recorded.
     pub event: PlatformEvent,
 }
 
-/// What the platform saw or did.
+/// An event in the history of the platform.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlatformEvent {
     /// Records were appended to the log.
     Appended {
-        /// Offset of the first one.
+        /// Offset of the first appended record.
         first: Offset,
-        /// Their number.
+        /// Number of appended records.
         records: u64,
     },
-    /// A target order was answered.
+    /// A target order was handled.
     Order {
-        /// The answer.
+        /// Answer to the order, even if the response was lost.
         answer: OrderAnswer,
-        /// The order.
+        /// Order as received.
         order: TargetOrder,
-        /// Whether it is a repetition of an earlier one.
+        /// Whether an order with the same identifier was carried out before.
         repeated: bool,
     },
     /// A target changed its state.
     Target {
-        /// The new state; none once it has ended.
+        /// New state; `None` once the target has ended.
         state: Option<TargetState>,
-        /// The target.
+        /// Name of the target.
         target: TargetName,
     },
-    /// A usage report was answered.
+    /// A usage report was handled.
     Usage {
-        /// The report.
+        /// Report as received.
         report: UsageReport,
-        /// Whether it was stored, or equal to what was stored.
+        /// Whether the report was accepted, as the first of its window or with the same rows as the
+        /// first; others get status 409.
         stored: bool,
     },
 }
--- a/crates/godwitspool-fakes/src/platform_http.rs
+++ b/crates/godwitspool-fakes/src/platform_http.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP calls.
+//! The platform's HTTP API.
 
 use std::{thread, time::Duration};
 
@@ -13,17 +13,17 @@
     server::{leave_unanswered, lock, read_body, read_json, respond_json, respond_status, wall_ms},
 };
 
-const PAGE_RECORDS: usize = 1_000;
+const MAX_PAGE_RECORDS: usize = 1_000;
 
-/// Answers one request, which came by a data centre's view or by the common address.
+/// Handles one request, received at the address of the data centre `view` or at the common address.
 pub(crate) fn handle(mut request: Request, shared: &Shared, view: Option<&Dc>) {
     let body = read_body(&mut request);
     let url = request.url().to_owned();
     let (path, query) = url.split_once('?').unwrap_or((&url, ""));
     let parts = path.trim_start_matches('/').split('/').collect::<Vec<_>>();
-    let slow_ms = lock(&shared.state).slow_ms;
-    if slow_ms > 0 {
-        thread::sleep(Duration::from_millis(slow_ms));
+    let latency_ms = lock(&shared.state).latency_ms;
+    if latency_ms > 0 {
+        thread::sleep(Duration::from_millis(latency_ms));
     }
     match (request.method(), parts.as_slice()) {
         (Method::Post, ["log", "append"]) => append(request, &body, shared),
@@ -48,8 +48,8 @@
 }
 
 fn append(request: Request, body: &[u8], shared: &Shared) {
-    let asked = match read_json::<AppendRequest>(body) {
-        Ok(asked) => asked,
+    let params = match read_json::<AppendRequest>(body) {
+        Ok(params) => params,
         Err(error) => return respond_status(request, 400, &error),
     };
     let mut state = lock(&shared.state);
@@ -61,8 +61,8 @@
         drop(state);
         return respond_status(request, 429, "too many appends");
     }
-    let records = asked.records.len() as u64;
-    let first = state.log.append(asked.records);
+    let records = params.records.len() as u64;
+    let first = state.log.append(params.records);
     state.record(PlatformEvent::Appended { first, records });
     let lost = state.take_lost_answer();
     drop(state);
@@ -77,13 +77,13 @@
             .and_then(|(_, value)| value.parse::<u64>().ok())
     };
     let from = Offset(number("from").unwrap_or(0));
-    let max = number("max").map_or(PAGE_RECORDS, |max| max as usize);
+    let max = number("max").map_or(MAX_PAGE_RECORDS, |max| max as usize);
     let state = lock(&shared.state);
     if state.outage {
         drop(state);
         return respond_status(request, 503, "the log is out");
     }
-    let page = state.log.page(from, max.min(PAGE_RECORDS));
+    let page = state.log.page(from, max.min(MAX_PAGE_RECORDS));
     drop(state);
     respond_json(request, &page);
 }
@@ -94,16 +94,16 @@
         Err(error) => return respond_status(request, 400, &error),
     };
     let mut state = lock(&shared.state);
-    let repeated = state.fleet.knows(&order.order);
-    let given = state.fleet.order(&order, wall_ms());
+    let repeated = state.fleet.has_order(&order.order);
+    let outcome = state.fleet.order(&order, wall_ms());
     state.record(PlatformEvent::Order {
-        answer: given.clone(),
+        answer: outcome.clone(),
         order,
         repeated,
     });
     let lost = state.take_lost_answer();
     drop(state);
-    answer(request, &given, lost);
+    answer(request, &outcome, lost);
 }
 
 fn usage(request: Request, body: &[u8], shared: &Shared) {
@@ -138,6 +138,7 @@
     drop(request.respond(Response::from_data(body)));
 }
 
+/// Responds with JSON, or leaves the request unanswered if the answer is lost.
 fn answer(request: Request, value: &impl Serialize, lost: bool) {
     if lost {
         leave_unanswered(request);
@@ -147,6 +148,7 @@
 }
 
 impl State {
+    /// Returns whether the next answer is to be lost, and counts it.
     fn take_lost_answer(&mut self) -> bool {
         let lost = self.lost_answers > 0;
         self.lost_answers = self.lost_answers.saturating_sub(1);
--- a/crates/godwitspool-fakes/src/platform_log.rs
+++ b/crates/godwitspool-fakes/src/platform_log.rs
@@ -1,4 +1,4 @@
-//! The append-only log and other parts of the platform's state.
+//! Parts of the platform's state: the append-only log, rate limits and lagging values.
 
 use std::collections::VecDeque;
 
@@ -7,10 +7,11 @@
 
 const SECOND_MS: u64 = 1_000;
 
-/// Allows a number of events in every second.
+/// A rate limit over a sliding window of one second.
 #[derive(Debug)]
 pub(crate) struct RateLimit {
     per_s: u32,
+    /// Times of the events in the window, in milliseconds.
     recent: VecDeque<u64>,
 }
 
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Counts an event if it is allowed.
+    /// Returns whether an event is allowed, and counts it if so.
     pub(crate) fn allow(&mut self, now_ms: u64) -> bool {
         while self
             .recent
@@ -39,9 +40,10 @@
     }
 }
 
-/// An append-only log that keeps its last records.
+/// An append-only log that retains its last records.
 #[derive(Debug)]
 pub(crate) struct Log {
+    /// Offset of the next record.
     end: u64,
     records: VecDeque<LogRecord>,
     retention: usize,
@@ -72,7 +74,7 @@
         first
     }
 
-    /// Returns records from an offset on.
+    /// Returns up to `max` retained records from an offset on.
     pub(crate) fn page(&self, from: Offset, max: usize) -> LogPage {
         let retained = Offset(self.end - self.records.len() as u64);
         let skip = from.0.saturating_sub(retained.0) as usize;
@@ -85,10 +87,11 @@
     }
 }
 
-/// A value whose readers see it as it was a while ago.
+/// A value whose changes become visible to readers after a delay.
 #[derive(Debug)]
 pub(crate) struct Lagging<T> {
     lag_ms: u64,
+    /// Values with the time when they were set, in milliseconds; the first one is visible.
     versions: VecDeque<(u64, T)>,
 }
 
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Sets the value. The first one is seen at once.
+    /// Sets the value. The first one is visible immediately.
     pub(crate) fn set(&mut self, value: T, now_ms: u64) {
         if self.versions.back().is_none_or(|(_, last)| *last != value) {
             let at = if self.versions.is_empty() { 0 } else { now_ms };
@@ -108,10 +111,14 @@
         }
     }
 
-    /// Returns the value as readers see it.
+    /// Returns the value that readers see at `now_ms`.
     pub(crate) fn get(&mut self, now_ms: u64) -> T {
-        let seen_ms = now_ms.saturating_sub(self.lag_ms);
-        while self.versions.get(1).is_some_and(|(at, _)| *at <= seen_ms) {
+        let visible_ms = now_ms.saturating_sub(self.lag_ms);
+        while self
+            .versions
+            .get(1)
+            .is_some_and(|(at, _)| *at <= visible_ms)
+        {
             self.versions.pop_front();
         }
         self.versions
--- a/crates/godwitspool-fakes/src/platform_options.rs
+++ b/crates/godwitspool-fakes/src/platform_options.rs
@@ -17,21 +17,21 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Appends that the log takes a second.
+    /// Maximum number of appends per second; further ones get status 429.
     pub append_rate: u32,
     /// Classes of targets that can be ordered.
     pub classes: Vec<ClassOptions>,
-    /// Hosts of the system at the start.
+    /// Initial host list.
     pub hosts: Vec<HostEntry>,
-    /// Age of the host and target lists, in milliseconds.
+    /// Delay until readers see a change of the host or target list, in milliseconds.
     pub lag_ms: u64,
     /// Address to listen on; port 0 for any.
     pub listen: SocketAddr,
-    /// Records that the log keeps.
+    /// Maximum number of records that the log retains.
     pub retention: usize,
     /// Size of a model's weights, in bytes.
     pub weight_bytes: usize,
-    /// Downloads that the weight store allows a second.
+    /// Maximum number of weight downloads per second; further ones get status 429.
     pub weight_rate: u32,
 }
 
@@ -53,25 +53,25 @@
 /// A class of targets.
 #[derive(Clone, Debug)]
 pub struct ClassOptions {
-    /// Targets that each data centre has at most.
+    /// Maximum number of targets by data centre, applied to start orders; 0 for one without an entry.
     pub available: BTreeMap<Dc, u32>,
-    /// Name.
+    /// Name of the class.
     pub class: ClassName,
-    /// Whether the orders interface refuses an old term for this class.
+    /// Whether target orders, and the engines of the class, refuse a term below the highest seen.
     pub fencing: bool,
-    /// Targets that run from the start.
+    /// Number of targets to start with, by data centre.
     pub initial: BTreeMap<Dc, u32>,
-    /// What a target is.
+    /// Kind of the targets and their options.
     pub kind: TargetKind,
-    /// Whether the class can be reclaimed.
+    /// Whether [`Platform::reclaim`](crate::Platform::reclaim) applies to the class.
     pub reclaimable: bool,
-    /// Time after which a crashed target serves again, in milliseconds.
+    /// Time after which a crashed target is restarted, in milliseconds.
     pub restart_ms: u64,
     /// Service that the targets run.
     pub service: ServiceName,
-    /// Time from order to serving, in milliseconds.
+    /// Time from a start order until the target serves, in milliseconds.
     pub start_ms: u64,
-    /// Time from the order to stop to the end, in milliseconds.
+    /// Time from a stop order until the target ends, in milliseconds.
     pub stop_ms: u64,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// What a target is. Name and address of the options are the platform's to fill in.
+/// Kind of a target. The platform overrides the name in the options, and the fencing of engines.
 #[derive(Clone, Debug)]
 pub enum TargetKind {
     /// A model engine.
--- a/crates/godwitspool-fakes/src/platform_store.rs
+++ b/crates/godwitspool-fakes/src/platform_store.rs
@@ -10,30 +10,30 @@
 use godwitspool_host::http::{Bounds, Caller, Request, Response, Server};
 use serde_json::{Value, json};
 
-/// Keys of one page, as in the protocol.
-const PAGE_KEYS: usize = 500;
-/// Answers that are kept for repeated appends, as in the protocol.
-const REPEATS: usize = 5;
-/// How long a silenced call is held before its connection is closed.
-const SILENCE: Duration = Duration::from_secs(20);
-
-/// What the store does to a call.
+/// Maximum number of keys per page, as in the protocol.
+const MAX_PAGE_KEYS: usize = 500;
+/// Number of latest appends that are recognized when repeated, as in the protocol.
+const MAX_RECENT_APPENDS: usize = 5;
+/// Time until the connection of an unanswered call is closed.
+const SILENCE_DURATION: Duration = Duration::from_secs(20);
+
+/// Fault of a call to the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses with 503.
+    /// The store responds with status 503 and doesn't carry the call out.
     Busy,
-    /// It carries the call out and doesn't answer.
+    /// The store carries the call out and sends no response.
     LoseAnswer,
-    /// It neither carries the call out nor answers.
+    /// The store neither carries the call out nor sends a response.
     Silent,
-    /// It closes the connection at once.
+    /// The store closes the connection without a response and doesn't carry the call out.
     Reset,
 }
 
-/// A store as the platform's protocol describes it, in memory.
+/// An in-memory fake of the platform's record store, with the calls `/api/log-*` of its protocol.
 #[derive(Debug)]
 pub struct PlatformStore {
     server: Server,
@@ -46,13 +46,15 @@
     changed: Condvar,
 }
 
-type Decide = Box<dyn Fn(&Request) -> StoreFault + Send>;
+type FaultFn = Box<dyn Fn(&Request) -> StoreFault + Send>;
 
 #[derive(Default)]
 struct State {
+    /// Partitions by topic and number.
     topics: HashMap<(String, u32), Partition>,
     group: Group,
-    fault: Option<Decide>,
+    fault: Option<FaultFn>,
+    /// Number of calls by path.
     calls: HashMap<String, usize>,
 }
 
@@ -67,27 +69,36 @@
 #[derive(Debug, Default)]
 struct Partition {
     records: Vec<Vec<u8>>,
+    /// Offset of the first retained record.
     first: u64,
+    /// Offset and value of the newest record of each key.
     newest: BTreeMap<String, (u64, Vec<u8>)>,
+    /// Highest epoch of an append; lower ones are fenced.
     epoch: u64,
+    /// Sequence number of the last append in this epoch.
     last_seq: Option<u64>,
-    repeats: Vec<(u64, Value)>,
+    /// Sequence numbers and answers of the latest appends.
+    recent: Vec<(u64, Value)>,
 }
 
+/// The members that share the partitions among themselves.
 #[derive(Debug, Default)]
 struct Group {
+    /// Number of assignments so far.
     generation: u64,
+    /// Time of the last join and time to live, by member.
     members: BTreeMap<String, (Instant, Duration)>,
     topics: Vec<String>,
+    /// Owner by topic and partition number.
     owners: BTreeMap<(String, u32), String>,
 }
 
 impl PlatformStore {
-    /// Starts a store with so many partitions a topic.
+    /// Starts a store with `parts` partitions per topic.
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns the error of binding the address.
     pub fn start(parts: u32) -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let own = Arc::clone(&shared);
@@ -98,22 +109,23 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns its address.
+    /// Returns the address that the store listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Chooses the fault of each call from now on.
+    /// Sets the function that returns the fault of each further call.
     pub fn set_fault(&self, decide: impl Fn(&Request) -> StoreFault + Send + 'static) {
         self.shared.lock().fault = Some(Box::new(decide));
     }
 
-    /// Ends the faults.
+    /// Removes the function set by [`set_fault`](Self::set_fault).
     pub fn clear_fault(&self) {
         self.shared.lock().fault = None;
     }
 
-    /// Writes a keyed record, as the operators or a target do; without a value the key goes.
+    /// Appends a keyed record to partition 0 of a topic, as an operator or a target does. A record
+    /// without a value removes the key.
     pub fn put(&self, topic: &str, key: &str, value: Option<&Value>) {
         let value = value
             .map(|value| value.to_string().into_bytes())
@@ -128,7 +140,8 @@
         self.shared.changed.notify_all();
     }
 
-    /// Forgets the history of a topic; the newest record of each key stays.
+    /// Drops all records of a topic except the newest of each key. Reads from a dropped offset get
+    /// status 410.
     pub fn compact(&self, topic: &str) {
         let mut state = self.shared.lock();
         let partitions = state
@@ -141,14 +154,15 @@
         }
     }
 
-    /// Deals all partitions anew.
+    /// Reassigns all partitions without regard to their owners. `parts` is the number of partitions
+    /// per topic.
     pub fn rebalance(&self, parts: u32) {
         let mut state = self.shared.lock();
         state.group.owners.clear();
-        state.group.deal(parts);
+        state.group.assign(parts);
     }
 
-    /// Returns the newest records of a topic, by partition and key.
+    /// Returns partition, key and value of the newest records of a topic, sorted.
     pub fn newest(&self, topic: &str) -> Vec<(u32, String, Vec<u8>)> {
         let state = self.shared.lock();
         let partitions = state.topics.iter().filter(|((name, _), _)| name == topic);
@@ -161,7 +175,7 @@
         records
     }
 
-    /// Returns how many calls of a path were made.
+    /// Returns the number of calls to a path, including those with a fault.
     pub fn calls(&self, path: &str) -> usize {
         self.shared
             .lock()
@@ -197,14 +211,14 @@
             StoreFault::Busy => return caller.respond(&Response::new(503, Vec::new())),
             StoreFault::Reset => return closed(),
             StoreFault::Silent => {
-                thread::sleep(SILENCE);
+                thread::sleep(SILENCE_DURATION);
                 return closed();
             }
             StoreFault::None | StoreFault::LoseAnswer => {}
         }
         let answer = self.answer(request, parts);
         if fault == StoreFault::LoseAnswer {
-            thread::sleep(SILENCE);
+            thread::sleep(SILENCE_DURATION);
             return closed();
         }
         caller.respond(&answer)
@@ -221,21 +235,21 @@
                 let member = body["member"].as_str().unwrap_or_default();
                 let mut state = self.lock();
                 state.group.members.remove(member);
-                state.group.deal(parts);
+                state.group.assign(parts);
                 Response::new(200, "{}")
             }
             "/api/log-owners" => {
                 let state = self.lock();
                 let owners = state.group.owners.iter();
                 let rows = owners.map(|((topic, part), member)| json!([topic, part, member, 0]));
-                json_answer(200, &json!({ "parts": rows.collect::<Vec<_>>() }))
+                json_response(200, &json!({ "parts": rows.collect::<Vec<_>>() }))
             }
             _ => Response::new(404, Vec::new()),
         }
     }
 
     fn append(&self, request: &Request) -> Response {
-        let (topic, part) = place(request);
+        let (topic, part) = topic_part(request);
         if matches!(topic.as_str(), "keyed.op" | "keyed.servers") {
             return Response::new(403, Vec::new());
         }
@@ -249,46 +263,46 @@
         let partition = state.topics.entry((topic, part)).or_default();
         if let (Some(epoch), Some(seq)) = (number("epoch"), number("seq")) {
             if epoch < partition.epoch {
-                return json_answer(409, &json!({ "why": "fenced" }));
+                return json_response(409, &json!({ "why": "fenced" }));
             }
             if epoch > partition.epoch {
                 partition.epoch = epoch;
                 partition.last_seq = None;
-                partition.repeats.clear();
+                partition.recent.clear();
             }
             if !request.body.is_empty() {
-                if let Some((_, answer)) = partition.repeats.iter().find(|(old, _)| *old == seq) {
-                    return json_answer(200, answer);
+                if let Some((_, answer)) = partition.recent.iter().find(|(old, _)| *old == seq) {
+                    return json_response(200, answer);
                 }
                 let expected = partition.last_seq.map(|last| last + 1);
                 if expected.is_some_and(|expected| expected != seq) {
-                    return json_answer(409, &json!({ "why": "seq", "seq": expected }));
+                    return json_response(409, &json!({ "why": "seq", "seq": expected }));
                 }
                 partition.last_seq = Some(seq);
             }
         }
         if number("at").is_some_and(|at| at != partition.end()) {
-            return json_answer(412, &json!({ "end_offset": partition.end() }));
+            return json_response(412, &json!({ "end_offset": partition.end() }));
         }
         let offset = partition.end();
         let mut rest = &request.body[..];
-        while let Some((length, behind)) = rest.split_first_chunk::<4>() {
+        while let Some((length, tail)) = rest.split_first_chunk::<4>() {
             let length = u32::from_be_bytes(*length) as usize;
-            let Some((record, behind)) = behind.split_at_checked(length) else {
+            let Some((record, tail)) = tail.split_at_checked(length) else {
                 return Response::new(400, Vec::new());
             };
             partition.append(keyed, record.to_vec());
-            rest = behind;
+            rest = tail;
         }
         let answer = json!({ "offset": offset, "end_offset": partition.end() });
         if let Some(seq) = number("seq").filter(|_| !request.body.is_empty()) {
-            partition.repeats.push((seq, answer.clone()));
-            let surplus = partition.repeats.len().saturating_sub(REPEATS);
-            partition.repeats.drain(..surplus);
+            partition.recent.push((seq, answer.clone()));
+            let surplus = partition.recent.len().saturating_sub(MAX_RECENT_APPENDS);
+            partition.recent.drain(..surplus);
         }
         drop(state);
         self.changed.notify_all();
-        json_answer(200, &answer)
+        json_response(200, &answer)
     }
 
     fn read(&self, request: &Request) -> Response {
@@ -298,14 +312,15 @@
                 .and_then(|text| text.parse::<u64>().ok())
         };
         let from = number("start_from").unwrap_or_default();
-        let due = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or_default());
+        let deadline =
+            Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or_default());
         let mut state = self.lock();
         loop {
-            let partition = state.topics.entry(place(request)).or_default();
+            let partition = state.topics.entry(topic_part(request)).or_default();
             if from < partition.first {
-                return json_answer(410, &json!({ "first_offset": partition.first }));
+                return json_response(410, &json!({ "first_offset": partition.first }));
             }
-            let left = due.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if partition.end() > from || left.is_zero() {
                 let mut bytes = partition.end().to_be_bytes().to_vec();
                 bytes.extend_from_slice(&partition.first.to_be_bytes());
@@ -326,18 +341,18 @@
 
         let after = request.parameter("after").unwrap_or_default().to_owned();
         let mut state = self.lock();
-        let partition = state.topics.entry(place(request)).or_default();
+        let partition = state.topics.entry(topic_part(request)).or_default();
         let newest = partition.newest.iter().filter(|(key, _)| **key > after);
         let mut items: Vec<Value> = newest
-            .take(PAGE_KEYS + 1)
+            .take(MAX_PAGE_KEYS + 1)
             .map(|(key, (offset, value))| {
                 json!({ "key": key, "offset": offset, "value": BASE64_STANDARD.encode(value) })
             })
             .collect();
-        let more = items.len() > PAGE_KEYS;
-        items.truncate(PAGE_KEYS);
+        let more = items.len() > MAX_PAGE_KEYS;
+        items.truncate(MAX_PAGE_KEYS);
         let end = partition.end();
-        json_answer(
+        json_response(
             200,
             &json!({ "items": items, "has_more": more, "end_offset": end }),
         )
@@ -361,7 +376,7 @@
             .members
             .retain(|_, (seen, ttl)| now.duration_since(*seen) < *ttl);
         if !known || group.members.len() != members {
-            group.deal(parts);
+            group.assign(parts);
         }
         let owned = group.owners.iter().filter(|(_, owner)| **owner == member);
         let rows: Vec<Value> = owned
@@ -369,7 +384,7 @@
             .collect();
         let ttl_ms = ttl.as_millis() as u64;
         let answer = json!({ "generation": group.generation, "ttl_ms": ttl_ms, "parts": rows });
-        json_answer(200, &answer)
+        json_response(200, &answer)
     }
 }
 
@@ -395,9 +410,9 @@
 }
 
 impl Group {
-    /// Deals the partitions evenly; those whose holder is still a member and has no more than its
-    /// share stay.
-    fn deal(&mut self, parts: u32) {
+    /// Assigns the partitions evenly. A partition keeps its owner if that is still a member and has
+    /// no more than its share.
+    fn assign(&mut self, parts: u32) {
         self.generation += 1;
         let all = self
             .topics
@@ -405,42 +420,43 @@
             .flat_map(|topic| (0..parts).map(move |part| (topic, part)));
         let all: Vec<(String, u32)> = all.map(|(topic, part)| (topic.clone(), part)).collect();
         let members: Vec<&String> = self.members.keys().collect();
-        let most = all.len().div_ceil(members.len().max(1));
-        let mut held: HashMap<&String, usize> = HashMap::new();
+        let max_share = all.len().div_ceil(members.len().max(1));
+        let mut shares: HashMap<&String, usize> = HashMap::new();
         let mut owners = BTreeMap::new();
-        let mut open = Vec::new();
-        for place in all {
-            let holder = self
+        let mut unassigned = Vec::new();
+        for topic_part in all {
+            let current = self
                 .owners
-                .get(&place)
+                .get(&topic_part)
                 .and_then(|old| members.iter().copied().find(|member| *member == old));
-            match holder {
-                Some(member) if held.get(member).copied().unwrap_or_default() < most => {
-                    *held.entry(member).or_default() += 1;
-                    owners.insert(place, member.clone());
+            match current {
+                Some(member) if shares.get(member).copied().unwrap_or_default() < max_share => {
+                    *shares.entry(member).or_default() += 1;
+                    owners.insert(topic_part, member.clone());
                 }
-                _ => open.push(place),
+                _ => unassigned.push(topic_part),
             }
         }
-        for place in open {
-            let least = members
+        for topic_part in unassigned {
+            let least_loaded = members
                 .iter()
-                .min_by_key(|member| held.get(*member).copied());
-            if let Some(member) = least {
-                *held.entry(member).or_default() += 1;
-                owners.insert(place, (*member).clone());
+                .min_by_key(|member| shares.get(*member).copied());
+            if let Some(member) = least_loaded {
+                *shares.entry(member).or_default() += 1;
+                owners.insert(topic_part, (*member).clone());
             }
         }
         self.owners = owners;
     }
 }
 
-fn place(request: &Request) -> (String, u32) {
+/// Returns the topic and partition number of a call.
+fn topic_part(request: &Request) -> (String, u32) {
     let topic = request.parameter("topic").unwrap_or_default().to_owned();
     let part = request.parameter("part").and_then(|text| text.parse().ok());
     (topic, part.unwrap_or_default())
 }
 
-fn json_answer(status: u16, body: &Value) -> Response {
+fn json_response(status: u16, body: &Value) -> Response {
     Response::new(status, body.to_string()).with("Content-Type", "application/json")
 }
--- a/crates/godwitspool-fakes/src/platform_target.rs
+++ b/crates/godwitspool-fakes/src/platform_target.rs
@@ -13,49 +13,50 @@
 use godwitspool_host::http::{Bounds, Caller, Request, Response, Server};
 use serde_json::{Value, json};
 
-/// How long a hanging target holds a request.
-const HANG: Duration = Duration::from_secs(20);
+/// Time until the connection of an unanswered request is closed.
+const HANG_DURATION: Duration = Duration::from_secs(20);
 
-/// What a target does to a request.
+/// Fault of a request to a target.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum TargetFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses with 503 and says that the request has not run.
+    /// The target responds with status 503 and the header `Not-Run`, and doesn't run the request.
     Refuse,
-    /// It runs the request and fails it with this status.
+    /// The target runs the request and responds with this status.
     Fail(u16),
-    /// It breaks off behind so many events.
+    /// The target closes the connection after the stream's event with this number; with 0, before
+    /// the first event.
     CutAfter(u64),
-    /// It runs the request and never answers.
+    /// The target runs the request and sends no response.
     Hang,
-    /// It answers after so many milliseconds.
+    /// The target delays the response by this many milliseconds.
     Slow(u64),
-    /// It answers under another request's identifier.
+    /// The `Request-Id` of the response is that of another request.
     WrongId,
-    /// It sends a second answer behind the first.
+    /// The target sends the response twice. Has no effect on a stream.
     Extra,
-    /// Its answer bears no signature.
+    /// The response has no `Server-Stamp` header. Has no effect on a stream.
     Unsigned,
-    /// It answers under this version of the model.
+    /// The stream reports this weight version of the model.
     Version(u64),
 }
 
-/// What a target runs.
+/// Options of a [`PlatformTarget`].
 #[derive(Clone, Debug)]
 pub struct TargetOptions {
-    /// Name in its entry.
+    /// Name of the target, which it sends and expects as the instance.
     pub name: String,
-    /// Service in its entry.
+    /// Service in the target's entry.
     pub service: String,
-    /// Places in its entry.
+    /// Number of slots in the target's entry.
     pub slots: u32,
-    /// Events of a stream; without any it answers with a body.
+    /// Number of events in a stream; 0 responds with a plain body instead.
     pub events: u64,
-    /// Time between events.
+    /// Delay after each event.
     pub gap: Duration,
-    /// Versions of its models.
+    /// Initial weight versions by model.
     pub models: Vec<(String, u64)>,
 }
 
@@ -72,22 +73,23 @@
     }
 }
 
-/// A worker of the platform's protocol.
+/// A fake target that speaks the platform's protocol for workers.
 #[derive(Debug)]
 pub struct PlatformTarget {
     server: Server,
     shared: Arc<Shared>,
 }
 
-type Decide = Box<dyn Fn(&Request) -> TargetFault + Send>;
+type FaultFn = Box<dyn Fn(&Request) -> TargetFault + Send>;
 
 struct Shared {
-    /// Streams whose caller left before their end.
-    cut: AtomicUsize,
+    /// Number of streams whose caller disconnected before the end.
+    disconnects: AtomicUsize,
     options: TargetOptions,
-    fault: Mutex<Option<Decide>>,
-    seen: Mutex<Vec<Request>>,
+    fault: Mutex<Option<FaultFn>>,
+    executed: Mutex<Vec<Request>>,
     orders: Mutex<Vec<Value>>,
+    /// Weight versions by model.
     models: Mutex<HashMap<String, u64>>,
 }
 
@@ -104,15 +106,15 @@
     ///
     /// # Errors
     ///
-    /// When no port can be bound.
+    /// Returns the error of binding the address.
     pub fn start(options: TargetOptions) -> io::Result<Self> {
         let shared = Arc::new(Shared {
-            cut: AtomicUsize::new(0),
+            disconnects: AtomicUsize::new(0),
             fault: Mutex::default(),
             models: Mutex::new(options.models.iter().cloned().collect()),
             options,
             orders: Mutex::default(),
-            seen: Mutex::default(),
+            executed: Mutex::default(),
         });
         let own = Arc::clone(&shared);
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -121,7 +123,7 @@
         Ok(Self { server, shared })
     }
 
-    /// Returns its entry for the store.
+    /// Returns the target's entry for the store, with the given state.
     pub fn entry(&self, state: &str) -> Value {
         let models = lock(&self.shared.models);
         let models = models
@@ -135,27 +137,28 @@
         })
     }
 
-    /// Returns its name.
+    /// Returns the name, as set in [`TargetOptions::name`].
     pub fn name(&self) -> &str {
         &self.shared.options.name
     }
 
-    /// Chooses the fault of each request from now on.
+    /// Sets the function that returns the fault of each further request.
     pub fn set_fault(&self, decide: impl Fn(&Request) -> TargetFault + Send + 'static) {
         *lock(&self.shared.fault) = Some(Box::new(decide));
     }
 
-    /// Returns the requests that it ran.
+    /// Returns the requests that the target ran. Refused requests and those for another instance are
+    /// not included.
     pub fn executed(&self) -> Vec<Request> {
-        lock(&self.shared.seen).clone()
+        lock(&self.shared.executed).clone()
     }
 
-    /// Returns how many streams were cut by their caller.
+    /// Returns the number of streams whose caller disconnected before the end.
     pub fn disconnects(&self) -> usize {
-        self.shared.cut.load(Ordering::SeqCst)
+        self.shared.disconnects.load(Ordering::SeqCst)
     }
 
-    /// Returns the orders that it got.
+    /// Returns the accepted orders, without those that were fenced.
     pub fn orders(&self) -> Vec<Value> {
         lock(&self.shared.orders).clone()
     }
@@ -181,8 +184,8 @@
         if request.path() == "/api/order" {
             return self.order(caller, request);
         }
-        let wanted = request.headers.get("Expect-Instance");
-        if wanted.is_some_and(|wanted| wanted != self.options.name) {
+        let expected = request.headers.get("Expect-Instance");
+        if expected.is_some_and(|expected| expected != self.options.name) {
             let answer = Response::new(421, Vec::new()).with("Request-Id", &id);
             return caller.respond(&answer.with("Instance-Id", &self.options.name));
         }
@@ -194,7 +197,7 @@
             let answer = Response::new(503, Vec::new()).with("Request-Id", &id);
             return caller.respond(&answer.with("Not-Run", "1"));
         }
-        lock(&self.seen).push(request.clone());
+        lock(&self.executed).push(request.clone());
         let id = if fault == TargetFault::WrongId {
             "another".to_owned()
         } else {
@@ -202,7 +205,7 @@
         };
         match fault {
             TargetFault::Hang => {
-                thread::sleep(HANG);
+                thread::sleep(HANG_DURATION);
                 return Err(io::ErrorKind::ConnectionAborted.into());
             }
             TargetFault::Slow(ms) => thread::sleep(Duration::from_millis(ms)),
@@ -260,7 +263,7 @@
             }
             let event = format!("id: {number}\ndata: e{number}\n\n");
             if let Err(error) = caller.chunk(event.as_bytes()) {
-                self.cut.fetch_add(1, Ordering::SeqCst);
+                self.disconnects.fetch_add(1, Ordering::SeqCst);
                 return Err(error);
             }
             thread::sleep(self.options.gap);
--- a/crates/godwitspool-fakes/tests/engine.rs
+++ b/crates/godwitspool-fakes/tests/engine.rs
@@ -1,4 +1,4 @@
-//! What engines stream, refuse and lose.
+//! Tests of the fake engine: streams, crashes, weight swaps and load.
 
 use std::{
     io::{BufRead, BufReader},
@@ -15,7 +15,7 @@
 use godwitspool_types::{Term, WeightVersion};
 use rstest::rstest;
 
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn quick() -> EngineOptions {
     EngineOptions {
@@ -41,9 +41,9 @@
 }
 
 /// Reads events until the stream ends or breaks.
-fn generate(engine: &Engine, asked: &Generate) -> (Vec<Chunk>, bool) {
+fn generate(engine: &Engine, params: &Generate) -> (Vec<Chunk>, bool) {
     let url = format!("http://{}/v1/chat/completions", engine.address());
-    let Ok(answer) = ureq::post(url).send_json(asked) else {
+    let Ok(answer) = ureq::post(url).send_json(params) else {
         return (Vec::new(), false);
     };
     let mut chunks = Vec::new();
@@ -67,9 +67,9 @@
     texts.filter(|text| !text.is_empty()).collect()
 }
 
-fn expected(asked: &Generate) -> (Vec<String>, Finish) {
-    let prompt = prompt_hash(&asked.messages, asked.seed);
-    let (count, finish) = answer_length(prompt, asked.max_tokens);
+fn expected(params: &Generate) -> (Vec<String>, Finish) {
+    let prompt = prompt_hash(&params.messages, params.seed);
+    let (count, finish) = answer_length(prompt, params.max_tokens);
     (
         (0..count).map(|index| token(prompt, index)).collect(),
         finish,
@@ -79,7 +79,10 @@
 fn wait_for(mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < BOUND, "the condition was not met in time");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "the condition was not met in time"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -97,9 +100,9 @@
 #[test]
 fn streams_the_expected_tokens_and_continues_a_resumed_answer() {
     let engine = Engine::start(quick()).unwrap();
-    let mut asked = ask("hello", 40);
-    let (tokens, finish) = expected(&asked);
-    let (chunks, done) = generate(&engine, &asked);
+    let mut params = ask("hello", 40);
+    let (tokens, finish) = expected(&params);
+    let (chunks, done) = generate(&engine, &params);
     assert!(done);
     assert_eq!(texts(&chunks), tokens);
     assert_eq!(
@@ -107,14 +110,14 @@
         Some(finish)
     );
 
-    asked.resume = tokens[..7].to_vec();
-    let (chunks, _) = generate(&engine, &asked);
+    params.resume = tokens[..7].to_vec();
+    let (chunks, _) = generate(&engine, &params);
     assert_eq!(texts(&chunks), tokens[7..]);
     assert_eq!(chunks[0].choices[0].index, 7);
 }
 
 #[test]
-fn a_poison_prompt_ends_all_streams_and_refuses_until_restarted() {
+fn a_poison_prompt_ends_all_streams_and_the_engine_refuses_until_restarted() {
     let engine = Engine::start(EngineOptions {
         step_ms: 10,
         ..quick()
@@ -152,15 +155,15 @@
 }
 
 #[test]
-fn an_exported_stream_goes_on_elsewhere() {
+fn an_exported_stream_continues_on_another_engine() {
     let (one, two) = (
         Engine::start(quick()).unwrap(),
         Engine::start(quick()).unwrap(),
     );
-    let mut asked = ask("moves", 2_000);
-    asked.request = "moving".into();
+    let mut params = ask("moves", 2_000);
+    params.request = "moving".into();
     let (chunks, kv) = thread::scope(|scope| {
-        let first = scope.spawn(|| generate(&one, &asked).0);
+        let first = scope.spawn(|| generate(&one, &params).0);
         wait_for(|| !one.history().is_empty());
         thread::sleep(Duration::from_millis(30));
         let url = format!("http://{}/kv/moving/export", one.address());
@@ -174,18 +177,18 @@
     );
     let mut tokens = texts(&chunks);
     assert_eq!(tokens.len(), kv.tokens as usize);
-    asked.kv = Some(kv);
-    tokens.extend(texts(&generate(&two, &asked).0));
-    assert_eq!(tokens, expected(&asked).0);
+    params.kv = Some(kv);
+    tokens.extend(texts(&generate(&two, &params).0));
+    assert_eq!(tokens, expected(&params).0);
 }
 
 #[test]
-fn a_cancelled_stream_ends_with_its_reason() {
+fn a_cancelled_stream_ends_with_the_reason_cancelled() {
     let engine = Engine::start(quick()).unwrap();
-    let mut asked = ask("cancelled", 40_000);
-    asked.request = "gone".into();
+    let mut params = ask("cancelled", 40_000);
+    params.request = "gone".into();
     thread::scope(|scope| {
-        let stream = scope.spawn(|| generate(&engine, &asked).0);
+        let stream = scope.spawn(|| generate(&engine, &params).0);
         wait_for(|| !engine.history().is_empty());
         let url = format!("http://{}/v1/requests/gone", engine.address());
         wait_for(|| ureq::delete(&url).call().is_ok());
@@ -199,7 +202,7 @@
 #[case::works(SwapFault::None, true, "v2")]
 #[case::fails(SwapFault::Fails, false, "v1")]
 #[case::false_success(SwapFault::FalseSuccess, true, "v1")]
-fn a_swap_does_what_its_fault_says(
+fn a_swap_fault_determines_the_response_and_the_weights_in_use(
     #[case] fault: SwapFault,
     #[case] answered: bool,
     #[case] serves: &str,
@@ -221,9 +224,9 @@
 }
 
 #[rstest]
-#[case::checks(true, "v3")]
-#[case::ignores(false, "v2")]
-fn an_old_term_is_refused_where_it_is_checked(#[case] fencing: bool, #[case] serves: &str) {
+#[case::with_fencing(true, "v3")]
+#[case::without_fencing(false, "v2")]
+fn an_old_term_is_refused_only_with_fencing(#[case] fencing: bool, #[case] serves: &str) {
     let engine = Engine::start(EngineOptions { fencing, ..quick() }).unwrap();
     swap(&engine, "v3", 9).unwrap();
     assert_eq!(swap(&engine, "v2", 8).is_err(), fencing);
@@ -233,9 +236,9 @@
 #[test]
 fn a_swap_in_mid_stream_shows_in_chunks_and_in_the_history() {
     let engine = Engine::start(quick()).unwrap();
-    let asked = ask("swapped", 1_500);
+    let params = ask("swapped", 1_500);
     let chunks = thread::scope(|scope| {
-        let stream = scope.spawn(|| generate(&engine, &asked).0);
+        let stream = scope.spawn(|| generate(&engine, &params).0);
         wait_for(|| !engine.history().is_empty());
         thread::sleep(Duration::from_millis(30));
         swap(&engine, "v2", 1).unwrap();
@@ -247,7 +250,7 @@
         .count();
     assert!(
         count > 0 && count < chunks.len() - 1,
-        "{count} of {}",
+        "{count} of {} chunks with the old version",
         chunks.len()
     );
     let ended = engine
@@ -263,7 +266,7 @@
 }
 
 #[test]
-fn kv_memory_bounds_what_runs_and_load_lags() {
+fn kv_blocks_limit_the_running_requests() {
     let options = EngineOptions {
         kv_blocks: 400,
         load_lag_ms: 0,
@@ -273,9 +276,9 @@
     let engine = Engine::start(options).unwrap();
     thread::scope(|scope| {
         for index in 0..4 {
-            let asked = ask(&format!("load {index}"), 3_000);
+            let params = ask(&format!("load {index}"), 3_000);
             let engine = &engine;
-            scope.spawn(move || generate(engine, &asked));
+            scope.spawn(move || generate(engine, &params));
         }
         let url = format!("http://{}/load", engine.address());
         wait_for(|| {
@@ -293,11 +296,11 @@
 }
 
 #[test]
-fn a_key_is_recorded_wherever_it_is_seen() {
+fn an_api_key_in_a_request_is_recorded() {
     let engine = Engine::start(quick()).unwrap();
     generate(&engine, &ask("gsk-0123", 4));
     let seen = engine.history().into_iter().any(|record| {
-        matches!(record.event, EngineEvent::Received { key: Some(place), .. } if place == "body")
+        matches!(record.event, EngineEvent::Received { key: Some(location), .. } if location == "body")
     });
     assert!(seen);
     generate(&engine, &ask("clean", 4));
--- a/crates/godwitspool-fakes/tests/plain_service.rs
+++ b/crates/godwitspool-fakes/tests/plain_service.rs
@@ -1,4 +1,4 @@
-//! What plain services answer and lose.
+//! Tests of the fake plain service and the fake scorer.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 #[rstest]
 #[case::cut(PlainFault::Cut)]
 #[case::lost(PlainFault::Lost)]
-fn a_call_with_a_broken_answer_ran(#[case] fault: PlainFault) {
+fn a_call_with_a_cut_or_lost_response_runs(#[case] fault: PlainFault) {
     let service = PlainService::start(PlainOptions::default()).unwrap();
     service.set_fault(fault);
     assert!(post(&service, "/?call=1").is_err());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_poison_call_crashes_it_until_it_is_restarted() {
+fn a_poison_call_crashes_the_service_until_it_is_restarted() {
     let service = PlainService::start(PlainOptions::default()).unwrap();
     assert!(post(&service, "/poison-prompt").is_err());
     assert!(service.is_crashed());
@@ -60,11 +60,11 @@
     let scorer = Scorer::start(([127, 0, 0, 1], 0).into(), 0).unwrap();
     let url = format!("http://{}/score", scorer.address());
     let score = |text: &str| {
-        let asked = ScoreRequest {
+        let params = ScoreRequest {
             sample: "s".into(),
             tokens: vec![text.into()],
         };
-        let mut answer = agent().post(&url).send_json(&asked).unwrap();
+        let mut answer = agent().post(&url).send_json(&params).unwrap();
         answer
             .body_mut()
             .read_json::<ScoreResponse>()
--- a/crates/godwitspool-fakes/tests/platform.rs
+++ b/crates/godwitspool-fakes/tests/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform refuses, delays and loses.
+//! Tests of the fake platform: log, orders, usage reports, weight store, lists and their faults.
 
 use std::{
     collections::BTreeMap,
@@ -17,9 +17,9 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 const LAG: Duration = Duration::from_millis(100);
-/// Least lag that shows, with room for rounding.
-const SEEN_LAG: Duration = Duration::from_millis(80);
-const BOUND: Duration = Duration::from_secs(20);
+/// Minimum lag that a test expects; below `LAG` because times are rounded to milliseconds.
+const MIN_LAG: Duration = Duration::from_millis(80);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn post<T: DeserializeOwned>(
     platform: &Platform,
@@ -36,11 +36,11 @@
 
 fn get<T: DeserializeOwned>(platform: &Platform, path: &str) -> T {
     let url = format!("http://{}{path}", platform.address());
-    let mut answer = ureq::get(url).call().expect("the platform answers");
+    let mut answer = ureq::get(url).call().expect("the platform responds");
     answer
         .body_mut()
         .read_json()
-        .expect("the body is of the published form")
+        .expect("the body matches the protocol")
 }
 
 fn append(platform: &Platform, body: &str) -> Result<Appended, ureq::Error> {
@@ -88,7 +88,10 @@
 fn wait_for(mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < BOUND, "the condition was not met in time");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "the condition was not met in time"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -117,7 +120,7 @@
 }
 
 #[test]
-fn an_outage_and_the_append_rate_refuse() {
+fn appends_are_refused_during_an_outage_and_above_the_rate_limit() {
     let options = PlatformOptions {
         append_rate: 2,
         ..PlatformOptions::default()
@@ -138,7 +141,7 @@
 }
 
 #[test]
-fn a_lost_answer_took_effect() {
+fn an_append_with_a_lost_answer_takes_effect() {
     let platform = Platform::start(PlatformOptions::default()).unwrap();
     platform.lose_answers(1);
     assert!(append(&platform, "a").is_err());
@@ -166,7 +169,7 @@
 }
 
 #[test]
-fn a_class_that_ignores_terms_takes_old_orders() {
+fn a_class_without_fencing_accepts_old_terms() {
     let platform = Platform::start(engines(false)).unwrap();
     for (id, term) in [("1", 5), ("2", 4)] {
         let answer: OrderAnswer = post(
@@ -180,12 +183,12 @@
 }
 
 #[test]
-fn targets_start_late_are_listed_later_and_end_after_notice() {
+fn targets_are_listed_with_a_lag_and_end_after_a_reclaim() {
     let platform = Platform::start(engines(true)).unwrap();
     let _: OrderAnswer = post(&platform, "/orders", &order("1", 1, OrderAction::Start(1))).unwrap();
     let ordered = Instant::now();
     wait_for(|| get::<TargetList>(&platform, "/targets").targets.len() == 2);
-    assert!(ordered.elapsed() >= SEEN_LAG, "the list does not lag");
+    assert!(ordered.elapsed() >= MIN_LAG, "the list does not lag");
     wait_for(|| {
         let listed: TargetList = get(&platform, "/targets");
         listed
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn a_crashed_target_serves_again() {
+fn a_crashed_target_is_restarted() {
     let platform = Platform::start(engines(true)).unwrap();
     let engine = platform.running_engines().remove(0);
     engine.crash();
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn a_window_with_other_figures_is_refused() {
+fn a_usage_report_with_other_rows_for_the_same_window_is_refused() {
     let platform = Platform::start(PlatformOptions::default()).unwrap();
     let report = |requests| UsageReport {
         host: "host".into(),
@@ -255,7 +258,7 @@
 }
 
 #[test]
-fn a_data_centre_has_its_own_view_and_can_be_cut_off() {
+fn a_data_centre_has_its_own_view_which_can_be_partitioned_or_held() {
     let platform = Platform::start(PlatformOptions::default()).unwrap();
     let dc = Dc::from("gori");
     let host = HostEntry {
