--- a/crates/godwitspool-fakes/src/batch.rs
+++ b/crates/godwitspool-fakes/src/batch.rs
@@ -225,7 +225,7 @@
     }
 
     /// Returns a record for every running stream.
-    pub(crate) fn open(&self) -> impl Iterator<Item = EngineEvent> {
+    pub(crate) fn running_records(&self) -> impl Iterator<Item = EngineEvent> {
         self.running.iter().map(|sequence| sequence.ended(None))
     }
 
--- a/crates/godwitspool-fakes/src/engine.rs
+++ b/crates/godwitspool-fakes/src/engine.rs
@@ -205,12 +205,12 @@
     /// Returns the history, and a record of the tokens sent so far for each running stream.
     pub(crate) fn full_history(&self, target: &TargetName) -> Vec<EngineRecord> {
         let at_ms = wall_ms();
-        let open = self.batch.open().map(|event| EngineRecord {
+        let unfinished = self.batch.running_records().map(|event| EngineRecord {
             at_ms,
             event,
             target: target.clone(),
         });
-        self.history.iter().cloned().chain(open).collect()
+        self.history.iter().cloned().chain(unfinished).collect()
     }
 }
 
--- a/crates/godwitspool-fakes/src/fleet.rs
+++ b/crates/godwitspool-fakes/src/fleet.rs
@@ -242,11 +242,11 @@
         let Some(options) = self.classes.get(&order.class).cloned() else {
             return OrderAnswer::NoneAvailable;
         };
-        let seen = self.terms.entry(order.class.clone()).or_default();
-        if options.fencing && order.term < *seen {
-            return OrderAnswer::Fenced(*seen);
+        let highest_term = self.terms.entry(order.class.clone()).or_default();
+        if options.fencing && order.term < *highest_term {
+            return OrderAnswer::Fenced(*highest_term);
         }
-        *seen = order.term.max(*seen);
+        *highest_term = order.term.max(*highest_term);
         match &order.action {
             OrderAction::Start(count) => self.start_targets(&options, order, *count, now_ms),
             OrderAction::Stop(names) => self.stop_targets(&options, names, now_ms),
--- a/crates/godwitspool-fakes/src/platform.rs
+++ b/crates/godwitspool-fakes/src/platform.rs
@@ -333,11 +333,11 @@
 
     /// Sets the host list of a view; `None` is the common address.
     fn set_hosts(&mut self, view: Option<&Dc>, hosts: Vec<HostEntry>, lag_ms: u64) {
-        let seen = self
+        let host_list = self
             .hosts
             .entry(view.cloned())
             .or_insert_with(|| Lagging::new(lag_ms));
-        seen.set(HostList { hosts }, wall_ms());
+        host_list.set(HostList { hosts }, wall_ms());
     }
 
     /// Returns the host list that a view serves now; `None` is the common address.
--- a/crates/godwitspool-fakes/src/platform_store.rs
+++ b/crates/godwitspool-fakes/src/platform_store.rs
@@ -370,12 +370,12 @@
         let group = &mut state.group;
         group.topics = topics;
         let now = Instant::now();
-        let known = group.members.insert(member.clone(), (now, ttl)).is_some();
+        let rejoined = group.members.insert(member.clone(), (now, ttl)).is_some();
         let members = group.members.len();
         group
             .members
-            .retain(|_, (seen, ttl)| now.duration_since(*seen) < *ttl);
-        if !known || group.members.len() != members {
+            .retain(|_, (joined_at, ttl)| now.duration_since(*joined_at) < *ttl);
+        if !rejoined || group.members.len() != members {
             group.assign(parts);
         }
         let owned = group.owners.iter().filter(|(_, owner)| **owner == member);
