--- a/crates/godwitspool-entry/tests/cluster/mod.rs
+++ b/crates/godwitspool-entry/tests/cluster/mod.rs
@@ -21,7 +21,7 @@
 };
 use godwitspool_entry::Entry;
 use godwitspool_fakes::{
-    Engine, EngineOptions, PlainOptions, PlainService, answer_tokens, prompt_hash, token,
+    Engine, EngineOptions, PlainOptions, PlainService, answer_length, prompt_hash, token,
 };
 use godwitspool_process::EntrySettings;
 use godwitspool_types::{Key, Offset};
@@ -296,7 +296,7 @@
             role: "user".to_owned(),
         };
         let hash = prompt_hash(&[message], SEED);
-        let (count, _) = answer_tokens(hash, max_tokens);
+        let (count, _) = answer_length(hash, max_tokens);
         let expected: Vec<_> = (0..count).map(|index| token(hash, index)).collect();
         assert_eq!(tokens, expected);
     }
@@ -321,7 +321,7 @@
             content: format!("prompt {index}"),
             role: "user".to_owned(),
         };
-        answer_tokens(prompt_hash(&[message], SEED), max_tokens).0 >= min_tokens
+        answer_length(prompt_hash(&[message], SEED), max_tokens).0 >= min_tokens
     };
     format!("prompt {}", (0..10_000).find(long).unwrap())
 }
