--- a/crates/godwitspool-connection/src/http.rs
+++ b/crates/godwitspool-connection/src/http.rs
@@ -112,16 +112,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformBounds {
     /// Time to open a connection.
-    pub connect: Millis,
+    pub connect_timeout: Millis,
     /// Time for a whole call.
-    pub call: Millis,
+    pub call_timeout: Millis,
 }
 
 impl Default for PlatformBounds {
     fn default() -> Self {
         Self {
-            connect: Millis(500),
-            call: Millis(2_000),
+            connect_timeout: Millis(500),
+            call_timeout: Millis(2_000),
         }
     }
 }
@@ -154,8 +154,8 @@
             .proxy(None)
             .max_redirects(0)
             .max_idle_age(Duration::from_secs(5))
-            .timeout_connect(Some(bounds.connect.duration()))
-            .timeout_global(Some(bounds.call.duration()))
+            .timeout_connect(Some(bounds.connect_timeout.duration()))
+            .timeout_global(Some(bounds.call_timeout.duration()))
             .build();
         Self {
             agent: config.into(),
--- a/crates/godwitspool-connection/src/lane.rs
+++ b/crates/godwitspool-connection/src/lane.rs
@@ -63,7 +63,7 @@
     }
 
     /// Bounds the time without a byte, from the next read on.
-    pub(crate) fn set_idle(&self, idle: Millis) {
+    pub(crate) fn set_idle_timeout(&self, idle: Millis) {
         self.state.idle_ms.store(idle.0, Ordering::Relaxed);
     }
 
--- a/crates/godwitspool-connection/src/peer/link.rs
+++ b/crates/godwitspool-connection/src/peer/link.rs
@@ -26,42 +26,42 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LinkBounds {
     /// Time to open a connection.
-    pub connect: Millis,
+    pub connect_timeout: Millis,
     /// Time from sending a request to its answer.
-    pub answer: Millis,
+    pub answer_timeout: Millis,
     /// Largest frame, in bytes.
-    pub frame_bytes: usize,
+    pub max_frame_bytes: usize,
     /// Silence after which the operating system ends the connection.
-    pub silence: Millis,
+    pub keepalive_timeout: Millis,
 }
 
 impl Default for LinkBounds {
     fn default() -> Self {
         Self {
-            connect: Millis(500),
-            answer: Millis(3_000),
-            frame_bytes: 16 << 20,
-            silence: Millis(8_000),
+            connect_timeout: Millis(500),
+            answer_timeout: Millis(3_000),
+            max_frame_bytes: 16 << 20,
+            keepalive_timeout: Millis(8_000),
         }
     }
 }
 
 impl LinkBounds {
     /// Sets the time to open a connection.
-    pub fn with_connect(mut self, connect: Millis) -> Self {
-        self.connect = connect;
+    pub fn with_connect_timeout(mut self, connect_timeout: Millis) -> Self {
+        self.connect_timeout = connect_timeout;
         self
     }
 
     /// Sets the time from sending a request to its answer.
-    pub fn with_answer(mut self, answer: Millis) -> Self {
-        self.answer = answer;
+    pub fn with_answer_timeout(mut self, answer_timeout: Millis) -> Self {
+        self.answer_timeout = answer_timeout;
         self
     }
 
     /// Sets the largest frame, in bytes.
-    pub fn with_frame_bytes(mut self, frame_bytes: usize) -> Self {
-        self.frame_bytes = frame_bytes;
+    pub fn with_max_frame_bytes(mut self, max_frame_bytes: usize) -> Self {
+        self.max_frame_bytes = max_frame_bytes;
         self
     }
 }
@@ -171,7 +171,7 @@
     ///
     /// [`LinkError::ran`] says whether the other end may have carried out the request.
     pub fn call(&self, request: &Request) -> Result<Answer, LinkError> {
-        self.call_within(request, self.bounds.answer)
+        self.call_with_timeout(request, self.bounds.answer_timeout)
     }
 
     /// Sends a request and waits for its answer for a time of its own.
@@ -179,12 +179,12 @@
     /// # Errors
     ///
     /// [`LinkError::ran`] says whether the other end may have carried out the request.
-    pub fn call_within(&self, request: &Request, bound: Millis) -> Result<Answer, LinkError> {
+    pub fn call_with_timeout(&self, request: &Request, bound: Millis) -> Result<Answer, LinkError> {
         let address = self.address;
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let message = Tagged { id, body: request };
-        let sent =
-            frame::encode(&message, self.bounds.frame_bytes).context(RequestSnafu { address })?;
+        let sent = frame::encode(&message, self.bounds.max_frame_bytes)
+            .context(RequestSnafu { address })?;
         let connection = self.connection()?;
         let (sender, receiver) = mpsc::channel();
         if !connection.waiting.enter(id, sender) || connection.send(&sent).is_err() {
@@ -245,9 +245,9 @@
 
 impl Connection {
     fn open(address: SocketAddr, bounds: LinkBounds, dropped: &Arc<AtomicU64>) -> io::Result<Self> {
-        let stream = TcpStream::connect_timeout(&address, bounds.connect.duration())?;
-        watch_silence(&stream, bounds.silence)?;
-        stream.set_write_timeout(Some(bounds.answer.duration()))?;
+        let stream = TcpStream::connect_timeout(&address, bounds.connect_timeout.duration())?;
+        watch_silence(&stream, bounds.keepalive_timeout)?;
+        stream.set_write_timeout(Some(bounds.answer_timeout.duration()))?;
         let writer = Mutex::new(stream.try_clone()?);
         let reader = stream.try_clone()?;
         let waiting = Arc::new(Waiting::default());
@@ -255,7 +255,7 @@
         let dropped = Arc::clone(dropped);
         thread::Builder::new()
             .name("peer-read".to_owned())
-            .spawn(move || read_answers(&reader, &read_for, &dropped, bounds.frame_bytes))?;
+            .spawn(move || read_answers(&reader, &read_for, &dropped, bounds.max_frame_bytes))?;
         Ok(Self {
             stream,
             waiting,
--- a/crates/godwitspool-connection/src/peer/server.rs
+++ b/crates/godwitspool-connection/src/peer/server.rs
@@ -28,48 +28,48 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServeBounds {
     /// Most connections; a further one is closed at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Largest frame, in bytes.
-    pub frame_bytes: usize,
+    pub max_frame_bytes: usize,
     /// Idle time after which a connection is closed.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
     /// Most calls in progress.
-    pub threads: usize,
+    pub max_threads: usize,
 }
 
 impl Default for ServeBounds {
     fn default() -> Self {
         Self {
-            connections: 512,
-            frame_bytes: 16 << 20,
-            idle: Millis(60_000),
-            threads: 256,
+            max_connections: 512,
+            max_frame_bytes: 16 << 20,
+            idle_timeout: Millis(60_000),
+            max_threads: 256,
         }
     }
 }
 
 impl ServeBounds {
     /// Sets the most connections.
-    pub fn with_connections(mut self, connections: usize) -> Self {
-        self.connections = connections;
+    pub fn with_max_connections(mut self, max_connections: usize) -> Self {
+        self.max_connections = max_connections;
         self
     }
 
     /// Sets the largest frame, in bytes.
-    pub fn with_frame_bytes(mut self, frame_bytes: usize) -> Self {
-        self.frame_bytes = frame_bytes;
+    pub fn with_max_frame_bytes(mut self, max_frame_bytes: usize) -> Self {
+        self.max_frame_bytes = max_frame_bytes;
         self
     }
 
     /// Sets the idle time after which a connection is closed.
-    pub fn with_idle(mut self, idle: Millis) -> Self {
-        self.idle = idle;
+    pub fn with_idle_timeout(mut self, idle_timeout: Millis) -> Self {
+        self.idle_timeout = idle_timeout;
         self
     }
 
     /// Sets the most calls in progress.
-    pub fn with_threads(mut self, threads: usize) -> Self {
-        self.threads = threads;
+    pub fn with_max_threads(mut self, max_threads: usize) -> Self {
+        self.max_threads = max_threads;
         self
     }
 }
@@ -134,7 +134,7 @@
     {
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
-        let pool = Pool::new(bounds.threads);
+        let pool = Pool::new(bounds.max_threads);
         let accept = Accept {
             bounds,
             handler: Arc::new(handler),
@@ -250,12 +250,12 @@
         Request: DeserializeOwned + Send + 'static,
         Answer: Serialize + 'static,
     {
-        if self.shared.open().len() >= self.bounds.connections {
+        if self.shared.open().len() >= self.bounds.max_connections {
             self.shared.refused.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        let span = self.bounds.idle.duration();
-        watch_silence(&stream, self.bounds.idle)?;
+        let span = self.bounds.idle_timeout.duration();
+        watch_silence(&stream, self.bounds.idle_timeout)?;
         stream.set_read_timeout(Some(span))?;
         stream.set_write_timeout(Some(span))?;
         let writer = Arc::new(Mutex::new(stream.try_clone()?));
@@ -310,7 +310,7 @@
         Request: DeserializeOwned + Send + 'static,
         Answer: Serialize + 'static,
     {
-        while let Some(body) = frame::read(stream, self.bounds.frame_bytes)? {
+        while let Some(body) = frame::read(stream, self.bounds.max_frame_bytes)? {
             self.answer(frame::decode::<Tagged<Request>>(&body)?);
         }
         Ok(())
@@ -325,7 +325,7 @@
         let handler = Arc::clone(&self.handler);
         let writer = Arc::clone(&self.writer);
         let shared = Arc::clone(&self.shared);
-        let bound = self.bounds.frame_bytes;
+        let bound = self.bounds.max_frame_bytes;
         self.pool.run(Box::new(move || {
             let answer = Tagged {
                 id: message.id,
--- a/crates/godwitspool-connection/src/target_client.rs
+++ b/crates/godwitspool-connection/src/target_client.rs
@@ -58,7 +58,7 @@
     }
 
     /// Drops the pooled connections, after one of them went silent.
-    pub fn condemn_pooled(&self) {
+    pub fn clear_pool(&self) {
         self.pool
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -74,7 +74,7 @@
     /// Any [`CallError`] but [`CallError::Truncated`].
     pub fn generate(&self, request: &Generate, idle: Millis) -> Result<TokenStream, CallError> {
         let lane = self.take_lane();
-        lane.set_idle(idle);
+        lane.set_idle_timeout(idle);
         let body = encode(request)?;
         let response = self.send(&lane, Method::POST, "/v1/chat/completions", &body, idle)?;
         Ok(TokenStream::new(
@@ -124,7 +124,7 @@
     /// Any [`CallError`]; an old term has status 409.
     pub fn swap(&self, order: &SwapOrder, patience: Millis) -> Result<SwapAnswer, CallError> {
         let lane = Lane::new();
-        lane.set_idle(patience);
+        lane.set_idle_timeout(patience);
         let body = encode(order)?;
         let response = self.send(&lane, Method::POST, "/admin/weights", &body, patience)?;
         decode(&read_body(response, &lane, patience)?)
@@ -146,7 +146,7 @@
         } else {
             Lane::new()
         };
-        lane.set_idle(idle);
+        lane.set_idle_timeout(idle);
         let request = call.to_request(self.address)?;
         let response = run(&lane, request, idle)?;
         let answer = PlainAnswer::read(response, MAX_ANSWER_BYTES)
@@ -180,7 +180,7 @@
 
     fn exchange(&self, method: Method, path: &str, body: &[u8]) -> Result<Vec<u8>, CallError> {
         let lane = self.take_lane();
-        lane.set_idle(CALL_IDLE);
+        lane.set_idle_timeout(CALL_IDLE);
         let response = self.send(&lane, method, path, body, CALL_IDLE)?;
         let bytes = read_body(response, &lane, CALL_IDLE)?;
         self.give_lane(lane);
--- a/crates/godwitspool-connection/src/token_stream.rs
+++ b/crates/godwitspool-connection/src/token_stream.rs
@@ -35,10 +35,10 @@
     }
 
     /// Bounds the wait for the next byte, from the next read on.
-    pub fn set_idle(&mut self, idle: Millis) {
+    pub fn set_idle_timeout(&mut self, idle: Millis) {
         self.idle = idle;
         if let Some(lane) = &self.lane {
-            lane.set_idle(idle);
+            lane.set_idle_timeout(idle);
         }
     }
 
--- a/crates/godwitspool-connection/tests/peer.rs
+++ b/crates/godwitspool-connection/tests/peer.rs
@@ -82,7 +82,7 @@
     .unwrap();
     let link = Arc::new(Link::<u64, u64>::new(
         address,
-        LinkBounds::default().with_answer(Millis(20_000)),
+        LinkBounds::default().with_answer_timeout(Millis(20_000)),
     ));
     let slow = Arc::clone(&link);
     let slow = thread::spawn(move || slow.call(&0).unwrap());
@@ -103,7 +103,10 @@
             counted.fetch_add(1, Ordering::SeqCst);
         }
     });
-    let link = Link::<u64, u64>::new(address, LinkBounds::default().with_answer(Millis(30)));
+    let link = Link::<u64, u64>::new(
+        address,
+        LinkBounds::default().with_answer_timeout(Millis(30)),
+    );
     for calls in 1..=2 {
         let error = link.call(&7).unwrap_err();
         assert!(matches!(error, LinkError::Timeout { .. }), "{error}");
@@ -163,7 +166,7 @@
 #[test]
 fn a_request_over_the_bound_is_not_sent() {
     let server = doubling(ServeBounds::default());
-    let bounds = LinkBounds::default().with_frame_bytes(4);
+    let bounds = LinkBounds::default().with_max_frame_bytes(4);
     let link = Link::<Vec<u8>, u64>::new(server.address(), bounds);
     let error = link.call(&vec![0; 64]).unwrap_err();
     assert_eq!(error.ran(), Ran::NotRun);
@@ -192,7 +195,7 @@
 
 #[test]
 fn a_frame_that_claims_too_much_is_refused_before_its_body() {
-    let server = doubling(ServeBounds::default().with_idle(Millis(600_000)));
+    let server = doubling(ServeBounds::default().with_idle_timeout(Millis(600_000)));
     let mut stream = TcpStream::connect(server.address()).unwrap();
     stream.set_read_timeout(Some(GENEROUS)).unwrap();
     let header = [b"GWS1".as_slice(), &u32::MAX.to_le_bytes()].concat();
@@ -213,7 +216,7 @@
 
 #[test]
 fn connections_over_the_bound_are_refused_and_others_served() {
-    let server = doubling(ServeBounds::default().with_connections(1));
+    let server = doubling(ServeBounds::default().with_max_connections(1));
     let link = Link::<u64, u64>::new(server.address(), LinkBounds::default());
     assert_eq!(link.call(&1).unwrap(), 2);
     let second = Link::<u64, u64>::new(server.address(), LinkBounds::default());
@@ -224,7 +227,7 @@
 
 #[test]
 fn idle_connections_are_closed() {
-    let server = doubling(ServeBounds::default().with_idle(Millis(20)));
+    let server = doubling(ServeBounds::default().with_idle_timeout(Millis(20)));
     let _idle = TcpStream::connect(server.address()).unwrap();
     wait_until("the connection was opened and closed", || {
         server.counts().open == 0
@@ -245,7 +248,11 @@
     })
     .unwrap();
     let call = thread::spawn(move || {
-        Link::<u64, u64>::new(address, LinkBounds::default().with_answer(Millis(20_000))).call(&3)
+        Link::<u64, u64>::new(
+            address,
+            LinkBounds::default().with_answer_timeout(Millis(20_000)),
+        )
+        .call(&3)
     });
     started.recv().unwrap();
     server.stop();
--- a/crates/godwitspool-connection/tests/platform.rs
+++ b/crates/godwitspool-connection/tests/platform.rs
@@ -109,7 +109,7 @@
 fn an_answer_that_does_not_come_is_unknown() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let bounds = PlatformBounds {
-        call: Millis(50),
+        call_timeout: Millis(50),
         ..PlatformBounds::default()
     };
     let base = format!("http://{}", listener.local_addr().unwrap());
--- a/crates/godwitspool-entry/src/process/billing.rs
+++ b/crates/godwitspool-entry/src/process/billing.rs
@@ -167,7 +167,10 @@
 type StewardLink = Link<StewardRequest, StewardAnswer>;
 
 fn link(steward: SocketAddr) -> StewardLink {
-    Link::new(steward, LinkBounds::default().with_answer(ANSWER_TIMEOUT))
+    Link::new(
+        steward,
+        LinkBounds::default().with_answer_timeout(ANSWER_TIMEOUT),
+    )
 }
 
 fn hold(link: &StewardLink, batch: &[UsageRecord]) -> bool {
--- a/crates/godwitspool-entry/src/process/demand.rs
+++ b/crates/godwitspool-entry/src/process/demand.rs
@@ -30,7 +30,7 @@
 
 /// Reports demand until the entry stops.
 pub(crate) fn run(shared: &Arc<Shared>) {
-    let bounds = LinkBounds::default().with_answer(ANSWER_TIMEOUT);
+    let bounds = LinkBounds::default().with_answer_timeout(ANSWER_TIMEOUT);
     let steward = Link::<StewardRequest, StewardAnswer>::new(shared.settings.steward, bounds);
     while !shared.stopped() {
         if let Err(error) = steward.call(&StewardRequest::Demand(demand(shared))) {
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -205,7 +205,7 @@
         self.shared.serving.dispatch.set_paces(&target, paces);
         if let Err(CallError::Silent { .. }) = &ended {
             // Its siblings in the pool may be as dead; the next request opens a new one.
-            self.shared.client(self.tries.on.address).condemn_pooled();
+            self.shared.client(self.tries.on.address).clear_pool();
         }
         match ended {
             Ok(ended) => ended,
@@ -243,7 +243,7 @@
                 paces.next.observe(now - heard);
             }
             heard = now;
-            stream.set_idle(paces.next.current());
+            stream.set_idle_timeout(paces.next.current());
             if self.open.is_cut() {
                 return Ok(Ended::Cut);
             }
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -182,7 +182,7 @@
             paces.first.observe(serving.now() - sent);
             serving.dispatch.set_paces(&tries.on.target, paces);
         }
-        Err(CallError::Silent { .. }) => client.condemn_pooled(),
+        Err(CallError::Silent { .. }) => client.clear_pool(),
         Err(_) => {}
     }
     outcome
--- a/crates/godwitspool-entry/src/rollout/stream.rs
+++ b/crates/godwitspool-entry/src/rollout/stream.rs
@@ -76,7 +76,7 @@
                 }
                 Ok(None) => return End::Broken("stream ended without a reason".to_owned()),
                 Err(error @ CallError::Silent { .. }) => {
-                    self.client.condemn_pooled();
+                    self.client.clear_pool();
                     return End::Broken(error.to_string());
                 }
                 Err(error) => return End::Broken(error.to_string()),
--- a/crates/godwitspool-entry/src/version/feed.rs
+++ b/crates/godwitspool-entry/src/version/feed.rs
@@ -20,7 +20,7 @@
     while !shared.stopped() {
         let stewards = stewards(shared);
         let address = stewards[next % stewards.len()];
-        let bounds = LinkBounds::default().with_answer(ANSWER_TIMEOUT);
+        let bounds = LinkBounds::default().with_answer_timeout(ANSWER_TIMEOUT);
         follow_one(shared, &Link::new(address, bounds));
         next += 1;
         if !shared.stopped() {
--- a/crates/godwitspool-measure/src/control/rig.rs
+++ b/crates/godwitspool-measure/src/control/rig.rs
@@ -75,7 +75,7 @@
             StewardRequest::Tail(from) => answers.tail(from, TAIL_WAIT),
             _ => StewardAnswer::NotReady,
         };
-        let bounds = ServeBounds::default().with_threads(256);
+        let bounds = ServeBounds::default().with_max_threads(256);
         let server = Server::start(listener, bounds, handler).expect("a thread starts");
         Self {
             entry: listing(&name, dc, address),
--- a/crates/godwitspool-steward/src/process/shared.rs
+++ b/crates/godwitspool-steward/src/process/shared.rs
@@ -140,7 +140,7 @@
         if links.len() >= MAX_LINKS && !links.contains_key(&address) {
             links.clear();
         }
-        let bounds = LinkBounds::default().with_answer(PEER_ANSWER);
+        let bounds = LinkBounds::default().with_answer_timeout(PEER_ANSWER);
         let link = links
             .entry(address)
             .or_insert_with(|| Arc::new(Link::new(address, bounds)));
--- a/crates/godwitspool-steward/src/version/orders.rs
+++ b/crates/godwitspool-steward/src/version/orders.rs
@@ -25,7 +25,7 @@
 /// Decides and gives target orders until the timer ends.
 pub(crate) fn run(shared: &Arc<Shared>, ticks: &Receiver<Tick>) {
     let bounds = PlatformBounds {
-        call: shared.leases.rules.order_timeout,
+        call_timeout: shared.leases.rules.order_timeout,
         ..PlatformBounds::default()
     };
     let platform = Platform::with_bounds(shared.settings.platform.clone(), bounds);
--- a/crates/godwitspool-steward/tests/steward.rs
+++ b/crates/godwitspool-steward/tests/steward.rs
@@ -59,7 +59,7 @@
 }
 
 fn ask(address: SocketAddr, request: &StewardRequest) -> StewardAnswer {
-    let bounds = LinkBounds::default().with_answer(Millis(5_000));
+    let bounds = LinkBounds::default().with_answer_timeout(Millis(5_000));
     Link::new(address, bounds).call(request).unwrap()
 }
 
