--- a/crates/godwitspool-cli/src/lib.rs
+++ b/crates/godwitspool-cli/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' command line.
 //!
-//! [`run`] carries out one command and returns its exit status: 0 when it was done, 1 when it failed,
-//! 2 for findings in the folder or on the command line.
+//! [`run`] carries out one command and returns its exit status: 0 when it was done, 1 when it
+//! failed, 2 for findings in the folder or on the command line.
 //!
 //! ```
 //! let mut out = Vec::new();
--- a/crates/godwitspool-cli/src/story.rs
+++ b/crates/godwitspool-cli/src/story.rs
@@ -65,8 +65,8 @@
     others: usize,
 }
 
-/// Prints a subject's story in the order of time, the hosts' clocks put right. Reads the files three
-/// times (clocks, subject, context), so that memory holds the story only.
+/// Prints a subject's story in the order of time, the hosts' clocks put right. Reads the files
+/// three times (clocks, subject, context), so that memory holds the story only.
 ///
 /// # Errors
 ///
--- a/crates/godwitspool-cli/tests/cli.rs
+++ b/crates/godwitspool-cli/tests/cli.rs
@@ -181,7 +181,11 @@
     platform.set_outage(true);
     let done = run(&["publish", &habimana(), "--platform", &url]);
     assert_eq!(done.status, 1);
-    assert!(done.errors.contains("platform is out"), "{}", done.errors);
+    assert!(
+        done.errors.contains("platform unavailable"),
+        "{}",
+        done.errors
+    );
 }
 
 // --- Keys and quarantine
--- a/crates/godwitspool-connection/src/call_error.rs
+++ b/crates/godwitspool-connection/src/call_error.rs
@@ -7,49 +7,49 @@
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum CallError {
-    /// No byte of the request left this process.
+    /// The request failed before any byte of it was sent.
     #[snafu(display("request was not sent: {cause}"))]
     NotSent {
-        /// What the library said.
+        /// Error of the HTTP library.
         cause: String,
     },
-    /// The connection broke after bytes of the request had left.
-    #[snafu(display("connection broke: {cause}"))]
+    /// The connection failed after a part of the request had been sent.
+    #[snafu(display("connection failed: {cause}"))]
     Broken {
-        /// What the library said.
+        /// Error of the HTTP library.
         cause: String,
     },
-    /// No byte came for the idle bound.
-    #[snafu(display("no byte for {idle}"))]
+    /// The target sent no byte within the idle timeout.
+    #[snafu(display("no byte received within the idle timeout of {idle}"))]
     Silent {
-        /// The idle bound.
+        /// The idle timeout.
         idle: Millis,
     },
     /// The target answered with an error status.
     #[snafu(display("status {status}: {message}"))]
     Status {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Value of `Retry-After`, when given in seconds.
+        /// Seconds of `Retry-After`; `None` without the header or when it holds a date.
         retry_after: Option<u64>,
-        /// Start of the body.
+        /// Body of the answer; empty when it is longer than 512 bytes or not UTF-8.
         message: String,
     },
-    /// The answer broke the protocol.
-    #[snafu(display("answer breaks the protocol: {cause}"))]
+    /// The answer is not valid in the protocol.
+    #[snafu(display("invalid answer: {cause}"))]
     Protocol {
-        /// What was wrong.
+        /// Error of the decoder, or which limit was exceeded.
         cause: String,
     },
-    /// The stream ended without its terminator.
-    #[snafu(display("stream ended without its terminator"))]
+    /// The stream ended before its terminator `[DONE]`.
+    #[snafu(display("stream ended before its terminator"))]
     Truncated,
 }
 
 impl CallError {
-    /// Tells whether the request may have run.
+    /// Returns whether the request may have run.
     ///
-    /// A status of 429 or 503 says by the protocol that the target took nothing.
+    /// By the protocol, a target answers 429 or 503 only before it starts a request.
     ///
     /// ```
     /// use godwitspool_connection::CallError;
--- a/crates/godwitspool-connection/src/engine.rs
+++ b/crates/godwitspool-connection/src/engine.rs
@@ -16,25 +16,26 @@
 /// A generation request.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Generate {
-    /// KV cache to continue from.
+    /// Exported KV cache to continue from; `None` starts with an empty one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kv: Option<KvHandle>,
-    /// Most tokens to generate, those of `resume` included.
+    /// Maximum tokens to generate, those of `resume` included.
     pub max_tokens: u32,
-    /// The conversation.
+    /// Messages of the conversation, oldest first.
     pub messages: Vec<Message>,
-    /// Model.
+    /// Name of the model that the engine serves.
     pub model: ModelName,
-    /// Identity on the engine, for cancelling and exporting.
+    /// Id of the request on the engine, by which it is cancelled and exported.
     #[serde(default)]
     pub request: String,
-    /// Tokens already generated elsewhere; the engine goes on behind them and doesn't repeat them.
+    /// Tokens that another engine has generated. The engine continues after them and doesn't repeat
+    /// them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub resume: Vec<String>,
-    /// Seed of the sampling.
+    /// Seed of the token sampling; 0 when not given.
     #[serde(default)]
     pub seed: u64,
-    /// Whether to stream.
+    /// Whether the answer is streamed as events.
     #[serde(default)]
     pub stream: bool,
 }
@@ -42,18 +43,18 @@
 /// A message of a conversation.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Message {
-    /// Text.
+    /// Text of the message.
     pub content: String,
     /// `system`, `user` or `assistant`.
     pub role: String,
 }
 
-/// One event of a generation stream; the shape of the widely used chat completions chunk.
+/// One event of a generation stream, in the format of a chat completions chunk.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Chunk {
-    /// Choices; one here.
+    /// Choices; always one.
     pub choices: Vec<Choice>,
-    /// Identity of the request.
+    /// Id of the request on the engine.
     pub id: String,
     /// Weight version that produced the chunk's token.
     pub weights: WeightVersion,
@@ -62,9 +63,9 @@
 /// A choice of a chunk.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Choice {
-    /// What is new.
+    /// Text added by this chunk.
     pub delta: Delta,
-    /// Why the stream ended, in its last chunk.
+    /// Why the stream ended; `None` except in its last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_reason: Option<Finish>,
     /// Index of the token in the whole answer, from 0.
@@ -84,9 +85,9 @@
 pub enum Finish {
     /// Cancelled on request.
     Cancelled,
-    /// Exported, to be continued elsewhere.
+    /// The KV cache was exported, to be continued on another engine.
     Exported,
-    /// The most tokens asked for were reached.
+    /// The limit of `max_tokens` was reached.
     Length,
     /// The answer is complete.
     Stop,
@@ -95,22 +96,22 @@
 /// Names an exported KV cache.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct KvHandle {
-    /// Opaque contents.
+    /// Handle that the exporting engine issued; opaque to this system.
     pub blob: String,
-    /// Tokens that it covers.
+    /// Number of tokens that the cache covers.
     pub tokens: u32,
 }
 
-/// Load of an engine, reported with a lag.
+/// Load of an engine. The report lags behind the true load.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Load {
     /// KV cache in use, in blocks.
     pub kv_used: u64,
-    /// KV cache there is, in blocks.
+    /// Size of the KV cache, in blocks.
     pub kv_total: u64,
-    /// Requests that generate.
+    /// Requests that are generating.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are queued.
     pub waiting: u32,
     /// Weight version in use.
     pub weights: WeightVersion,
@@ -121,7 +122,7 @@
 pub struct CacheEvents {
     /// The events, in order of sequence number.
     pub events: Vec<CacheEvent>,
-    /// Sequence number that the next event gets.
+    /// Sequence number of the next event.
     pub next: u64,
 }
 
@@ -130,26 +131,26 @@
 pub struct CacheEvent {
     /// Hash of the prefix.
     pub prefix: u64,
-    /// Sequence number; a gap means lost events.
+    /// Sequence number; a gap means that events were lost.
     pub sequence: u64,
-    /// Whether the prefix was stored or evicted.
+    /// `true` when the prefix was stored, `false` when it was evicted.
     pub stored: bool,
 }
 
-/// Orders an engine to load weights.
+/// Request to an engine to load a weight version.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SwapOrder {
-    /// Model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Fencing token.
+    /// Fencing token; the engine refuses an older one than it has seen.
     pub term: Term,
     /// Version to load.
     pub version: WeightVersion,
 }
 
-/// Answer to a swap order.
+/// Answer to a [`SwapOrder`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct SwapAnswer {
-    /// Version in use now.
+    /// Weight version in use now.
     pub weights: WeightVersion,
 }
--- a/crates/godwitspool-connection/src/http.rs
+++ b/crates/godwitspool-connection/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform's interfaces over HTTP.
+//! A client of the platform's HTTP interfaces.
 
 use std::time::Duration;
 
@@ -15,38 +15,39 @@
     },
 };
 
-const ANSWER_BYTES: u64 = 64 << 20;
-const REASON_BYTES: u64 = 1 << 10;
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
+const MAX_REASON_BYTES: u64 = 1 << 10;
 
-/// Why a call of the platform failed.
+/// Why a call to the platform failed.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The platform can't be reached or says that it is out; nothing was done.
-    #[snafu(display("{call}: platform is out: {reason}"))]
+    /// The platform is unreachable or answered 503; the call had no effect.
+    #[snafu(display("{call}: platform unavailable: {reason}"))]
     Outage {
         /// The call.
         call: &'static str,
         /// What was seen.
         reason: String,
     },
-    /// The platform refused the call; nothing was done.
+    /// The platform refused the call; the call had no effect.
     #[snafu(display("{call}: platform refused with status {status}: {reason}"))]
     Refused {
         /// The call.
         call: &'static str,
-        /// Status of the answer.
+        /// HTTP status code of the answer.
         status: u16,
-        /// Body of the answer, cut.
+        /// Body of the answer; empty when it is longer than 1 KiB or not UTF-8.
         reason: String,
     },
-    /// The check before the last byte failed, so the call was never sent whole; nothing was done.
-    #[snafu(display("{call}: withheld, the right to send it ended"))]
+    /// The check before the last byte failed, so the request stayed incomplete; the call had no
+    /// effect.
+    #[snafu(display("{call}: not sent, the check before its last byte failed"))]
     Withheld {
         /// The call.
         call: &'static str,
     },
-    /// The call was sent and its answer lost; it may have taken effect.
-    #[snafu(display("{call}: fate unknown: {reason}"))]
+    /// The request was sent, but no valid answer arrived; it may have taken effect.
+    #[snafu(display("{call}: outcome unknown: {reason}"))]
     Unknown {
         /// The call.
         call: &'static str,
@@ -72,35 +73,41 @@
         }
     }
 
-    /// Returns whether the platform refused for its rate, so that the same call may pass later.
+    /// Returns whether the platform refused the call for its rate limit, so a later retry may
+    /// succeed.
     pub fn is_throttled(&self) -> bool {
         matches!(self, Self::Refused { status: 429, .. })
     }
 }
 
-/// What the system asks of the platform.
+/// The calls that the system makes to the platform.
 ///
 /// # Errors
 ///
-/// Every call ends with a [`PlatformError`] that tells an outage, a refusal and an unknown fate apart.
-#[expect(clippy::missing_errors_doc, reason = "said once for all calls")]
+/// Every call returns a [`PlatformError`], which distinguishes an outage, a refusal and an unknown
+/// outcome.
+#[expect(clippy::missing_errors_doc, reason = "documented once on the trait")]
 pub trait PlatformApi: Send + Sync {
-    /// Appends records to the log, all or none.
+    /// Appends records to the log atomically: all or none.
     fn append(&self, records: &[String]) -> Result<Appended, PlatformError>;
-    /// Reads at most `max` records of the log from an offset on.
+    /// Reads at most `max` records of the log, starting at offset `from`.
     fn read(&self, from: Offset, max: usize) -> Result<LogPage, PlatformError>;
-    /// Returns the lagging list of hosts.
+    /// Returns the list of hosts, which lags behind the true state.
     fn hosts(&self) -> Result<HostList, PlatformError>;
-    /// Returns the lagging list of targets.
+    /// Returns the list of targets, which lags behind the true state.
     fn targets(&self) -> Result<TargetList, PlatformError>;
-    /// Orders targets of a data centre, if the check passes before the order's last byte is sent.
+    /// Starts or stops targets in a data centre.
+    ///
+    /// `may_send` is called before the last byte of the request. When it returns false, the request
+    /// stays incomplete and the call fails with [`PlatformError::Withheld`].
     fn order(
         &self,
         order: &TargetOrder,
         may_send: &dyn Fn() -> bool,
     ) -> Result<OrderAnswer, PlatformError>;
-    /// Reports usage, if the check passes before the report's last byte is sent; returns once it is
-    /// stored.
+    /// Reports usage; returns once the platform has stored it.
+    ///
+    /// `may_send` is as for [`order`](Self::order).
     fn report(
         &self,
         report: &UsageReport,
@@ -108,12 +115,12 @@
     ) -> Result<(), PlatformError>;
 }
 
-/// Bounds of a [`Platform`].
+/// Timeouts of a [`Platform`] client.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformBounds {
-    /// Time to open a connection.
+    /// Timeout for opening a connection; 500 ms by default.
     pub connect_timeout: Millis,
-    /// Time for a whole call.
+    /// Timeout for a whole call, including the connection; 2 s by default.
     pub call_timeout: Millis,
 }
 
@@ -126,7 +133,7 @@
     }
 }
 
-/// The platform at a base URL.
+/// A client of the platform at a base URL.
 ///
 /// ```
 /// use godwitspool_connection::http::{Platform, PlatformApi};
@@ -141,12 +148,12 @@
 }
 
 impl Platform {
-    /// Makes a client of the platform at a base URL.
+    /// Creates a client with the default timeouts.
     pub fn new(base: impl Into<String>) -> Self {
         Self::with_bounds(base, PlatformBounds::default())
     }
 
-    /// Makes a client with bounds of its own.
+    /// Creates a client with the given timeouts.
     pub fn with_bounds(base: impl Into<String>, bounds: PlatformBounds) -> Self {
         let base = base.into().trim_end_matches('/').to_owned();
         let config = Agent::config_builder()
@@ -165,8 +172,8 @@
 
     fn get<T: DeserializeOwned>(&self, call: &'static str, path: &str) -> Result<T, PlatformError> {
         let url = format!("{}{path}", self.base);
-        let sent = self.agent.get(&url).call();
-        let mut answer = accept(call, sent, &[])?;
+        let result = self.agent.get(&url).call();
+        let mut answer = check_status(call, result, &[])?;
         parse(call, &mut answer)
     }
 
@@ -178,8 +185,8 @@
         accepted: &[u16],
     ) -> Result<Response<Body>, PlatformError> {
         let url = format!("{}{path}", self.base);
-        let sent = self.agent.post(&url).send_json(body);
-        accept(call, sent, accepted)
+        let result = self.agent.post(&url).send_json(body);
+        check_status(call, result, accepted)
     }
 }
 
@@ -193,16 +200,16 @@
         may_send: &dyn Fn() -> bool,
     ) -> Result<Response<Body>, PlatformError> {
         let mut body = CheckedBody::new(body, may_send);
-        let sent = self
+        let result = self
             .agent
             .post(format!("{}{path}", self.base))
             .content_type("application/json")
             .header("content-length", body.len())
             .send(SendBody::from_reader(&mut body));
-        if body.is_refused() {
+        if body.is_withheld() {
             return Err(PlatformError::Withheld { call });
         }
-        accept(call, sent, accepted)
+        check_status(call, result, accepted)
     }
 }
 
@@ -232,7 +239,7 @@
         order: &TargetOrder,
         may_send: &dyn Fn() -> bool,
     ) -> Result<OrderAnswer, PlatformError> {
-        // The refusals of the protocol are answers: fenced and none available.
+        // Status 409 carries an `OrderAnswer`: `Fenced` or `NoneAvailable`.
         let mut answer = self.post_checked("order", "/orders", order, &[409], may_send)?;
         parse("order", &mut answer)
     }
@@ -247,17 +254,18 @@
     }
 }
 
-fn accept(
+/// Returns the answer if its status is a success or one of `accepted`, and an error otherwise.
+fn check_status(
     call: &'static str,
-    sent: Result<Response<Body>, ureq::Error>,
+    result: Result<Response<Body>, ureq::Error>,
     accepted: &[u16],
 ) -> Result<Response<Body>, PlatformError> {
-    let mut answer = sent.map_err(|error| failure(call, &error))?;
+    let mut answer = result.map_err(|error| classify(call, &error))?;
     let status = answer.status().as_u16();
     if (200..300).contains(&status) || accepted.contains(&status) {
         return Ok(answer);
     }
-    let body = answer.body_mut().with_config().limit(REASON_BYTES);
+    let body = answer.body_mut().with_config().limit(MAX_REASON_BYTES);
     let reason = body.read_to_string().unwrap_or_default();
     Err(match status {
         503 => PlatformError::Outage { call, reason },
@@ -273,16 +281,16 @@
     })
 }
 
-fn failure(call: &'static str, error: &ureq::Error) -> PlatformError {
+fn classify(call: &'static str, error: &ureq::Error) -> PlatformError {
     let reason = error.to_string();
-    if sent_nothing(error) {
+    if is_unsent(error) {
         PlatformError::Outage { call, reason }
     } else {
         PlatformError::Unknown { call, reason }
     }
 }
 
-fn sent_nothing(error: &ureq::Error) -> bool {
+fn is_unsent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::ConnectionFailed
         | ureq::Error::HostNotFound
@@ -297,7 +305,7 @@
     call: &'static str,
     answer: &mut Response<Body>,
 ) -> Result<T, PlatformError> {
-    let body = answer.body_mut().with_config().limit(ANSWER_BYTES);
+    let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
     body.read_json().map_err(|error| PlatformError::Unknown {
         call,
         reason: error.to_string(),
--- a/crates/godwitspool-connection/src/lib.rs
+++ b/crates/godwitspool-connection/src/lib.rs
@@ -1,19 +1,19 @@
-//! What lives for a connection: platform and target clients, peer links, streams and silence
-//! detection.
+//! Clients of the platform and of targets, and the calls between the system's own processes.
 //!
-//! Wire types are types of their own. The platform and the targets speak JSON over HTTP; the system's
-//! own processes speak postcard over TCP and UDP.
+//! The types sent over the network are defined here, apart from the domain types of the other
+//! crates. The platform and the targets are called with JSON over HTTP; the system's own processes
+//! exchange postcard messages over TCP and UDP.
 
 mod call_error;
 mod checked_body;
 pub mod engine;
 pub mod http;
-mod lane;
 pub mod messages;
 pub mod peer;
 mod plain_call;
 pub mod platform;
 mod target_client;
+mod target_connection;
 mod token_stream;
 
 pub use call_error::CallError;
--- a/crates/godwitspool-connection/src/messages.rs
+++ b/crates/godwitspool-connection/src/messages.rs
@@ -1,4 +1,6 @@
-//! Messages between the system's own processes, coded with postcard.
+//! Messages between the system's own processes, encoded with postcard.
+//!
+//! Postcard encodes fields and variants by position, so their order is part of the protocol.
 
 mod rollout;
 mod serving;
@@ -17,153 +19,152 @@
     TargetLoad, TrialReply,
 };
 
-/// Asks a steward.
+/// A request to a steward.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum StewardRequest {
-    /// Asks for the usage records that the steward holds.
+    /// Asks for the usage records that the steward stores.
     HeldUsage,
-    /// Takes usage records of an entry; answered once they are held.
+    /// Stores usage records of an entry; answered once they are stored.
     HoldUsage(Vec<UsageRecord>),
-    /// Asks for the fold's snapshot.
+    /// Asks for a snapshot of the configuration's fold.
     Snapshot,
-    /// Asks for records of the log from an offset on.
+    /// Asks for the records of the log from this offset on.
     Tail(Offset),
-    /// Asks for the view; answered when it differs from the revision named, or after a second.
+    /// Asks for the view. Answered when its revision differs from this one, or after a second.
     View(u64),
-    /// Reports an entry's demand.
+    /// Reports the demand at an entry.
     Demand(Demand),
 }
 
-/// Answers of a steward.
+/// An answer of a steward.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum StewardAnswer {
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// The steward has not yet found the configuration.
+    /// The steward has not read the configuration yet.
     NotReady,
-    /// The fold's snapshot, coded as in the log.
+    /// A snapshot of the fold, encoded as in the log.
     Snapshot {
-        /// Offset up to which the snapshot reaches, exclusive.
+        /// Offset of the first record that the snapshot doesn't include.
         end: Offset,
-        /// The snapshot.
+        /// The encoded snapshot.
         body: String,
     },
     /// Records of the log.
     Tail {
-        /// Milliseconds since the steward last knew that all of the log was in force on it.
+        /// Milliseconds since the steward last knew that it had applied the whole log.
         age_ms: u64,
         /// Records in order of offset.
         records: Vec<LogRecord>,
-        /// End of the log as far as the steward knows.
+        /// End of the log, as the steward knows it.
         end: Offset,
-        /// Oldest offset that the steward still has.
+        /// Oldest offset that the steward still stores.
         retained: Offset,
     },
-    /// The usage records that are held.
+    /// The usage records that the steward stores.
     Usage(Vec<UsageRecord>),
-    /// The view.
+    /// The current view.
     View(Box<View>),
 }
 
-/// Asks another entry.
-///
-/// Each part of the entry has messages of its own.
+/// A request to another entry, by the part of the entry that serves it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum EntryRequest {
-    /// Of the trainers' path.
+    /// A request about training.
     Rollout(RolloutRequest),
-    /// Of the interactive path.
+    /// A request about interactive serving.
     Serving(ServingRequest),
 }
 
-/// Answers another entry.
+/// An answer to another entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum EntryAnswer {
-    /// The entry has stopped serving peers, or doesn't know the request.
+    /// The entry no longer serves peers, or doesn't know the request.
     Refused,
-    /// Of the trainers' path.
+    /// Answer to a request about training.
     Rollout(RolloutAnswer),
-    /// Of the interactive path.
+    /// Answer to a request about interactive serving.
     Serving(ServingAnswer),
 }
 
-/// What an entry needs to serve, as its steward knows it.
+/// The state that an entry needs to serve requests, as its steward knows it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct View {
     /// Milliseconds since the log's end was last confirmed.
     pub age_ms: u64,
     /// Configuration in force.
     pub configuration: Arc<Configuration>,
-    /// Fingerprints of requests that are quarantined.
+    /// Fingerprints of the quarantined requests.
     pub quarantined: Vec<u64>,
-    /// Live and leaving hosts.
+    /// The live and the leaving hosts.
     pub members: Vec<Member>,
-    /// Offset up to which the configuration is folded, exclusive.
+    /// Offset of the first log record that the configuration doesn't include.
     pub offset: Offset,
-    /// Counts changes of this steward's view.
+    /// Number of changes of this steward's view so far.
     pub revision: u64,
-    /// Targets that are known.
+    /// The known targets.
     pub targets: Vec<TargetEntry>,
 }
 
-/// A host of the system as membership sees it.
+/// A host of the system, according to the membership protocol.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Member {
-    /// Name.
+    /// Name of the host.
     pub host: HostName,
     /// Data centre.
     pub dc: Dc,
-    /// Address of the entry for other entries.
+    /// Address at which other entries call its entry.
     pub entry: SocketAddr,
-    /// Set when the host takes no new work.
+    /// Whether the host is leaving and takes no new work.
     pub leaving: bool,
-    /// Address of the steward.
+    /// Address of its steward.
     pub steward: SocketAddr,
 }
 
-/// Usage of one request, counted by what the caller got.
+/// Usage of one request, counted by what was delivered to the caller.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct UsageRecord {
-    /// Entry host that answered.
+    /// Host whose entry answered the request.
     pub host: HostName,
-    /// Sequence number on the entry host, from 1, without gaps in one life.
+    /// Sequence number on the entry host; it starts at 1 and has no gaps within an incarnation.
     pub sequence: u64,
-    /// Life of the entry.
+    /// Incarnation of the entry process.
     pub incarnation: u64,
-    /// Tokens that the caller got.
+    /// Tokens that were delivered to the caller.
     pub output_tokens: u64,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Service, qualified.
+    /// Qualified name of the service.
     pub service: ServiceName,
-    /// Workspace that pays.
+    /// Workspace that is charged.
     pub workspace: Workspace,
 }
 
-/// Demand at an entry, by service.
+/// Demand at an entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Demand {
-    /// Entry host.
+    /// Host of the entry.
     pub host: HostName,
     /// Demand by service.
     pub services: Vec<ServiceDemand>,
-    /// Targets whose stream of work the entry found broken since its last report.
+    /// Targets whose streams failed since the last report. Unused: entries send an empty list. The
+    /// field stays because postcard reads fields by position.
     pub suspects: Vec<TargetName>,
 }
 
-/// Demand for a service at an entry.
+/// Demand for one service at an entry.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ServiceDemand {
-    /// Service, qualified.
+    /// Qualified name of the service.
     pub service: ServiceName,
     /// Interactive requests running.
     pub interactive: u32,
     /// Training samples running.
     pub training: u32,
-    /// Interactive requests waiting.
+    /// Interactive requests queued.
     pub waiting: u32,
-    /// Training samples waiting.
+    /// Training samples queued.
     pub backlog: u32,
 }
--- a/crates/godwitspool-connection/src/messages/rollout.rs
+++ b/crates/godwitspool-connection/src/messages/rollout.rs
@@ -1,48 +1,49 @@
-//! Messages between entries on the trainers' path.
+//! Messages between entries about training.
 
 use godwitspool_rollout::{Answer, PeerMessage, Request};
 use godwitspool_types::{HostName, ServiceName, TargetName, TrainerName};
 use serde::{Deserialize, Serialize};
 
-/// Asks another entry on the trainers' path.
+/// A request to another entry about training.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RolloutRequest {
-    /// Passes a trainer's request on to the home of its steps.
+    /// Forwards a trainer's request to the home host of its steps.
     Ask {
-        /// Trainer.
+        /// Trainer that sent the request.
         trainer: TrainerName,
-        /// What it asks.
+        /// The trainer's request.
         request: Request,
     },
-    /// Says how many training streams a host runs on each target, and how much it is entitled to.
+    /// Reports the training streams of a host on each target and the shares of its trainers.
     Portion(Portion),
-    /// Carries a message between the hosts that keep a trainer's steps.
+    /// Carries a message between the hosts that store a trainer's steps.
     Tell {
-        /// Sender.
+        /// Host that sends the message.
         from: HostName,
-        /// Trainer.
+        /// Trainer whose steps the message is about.
         trainer: TrainerName,
-        /// Message.
+        /// The message.
         message: PeerMessage,
     },
 }
 
-/// A host's part of the training on targets.
+/// A host's training streams and shares, from which every host computes how many streams each may
+/// run on a target.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Portion {
-    /// Host.
+    /// Host that reports.
     pub host: HostName,
-    /// Training streams by target.
+    /// Number of training streams by target.
     pub streams: Vec<(TargetName, u32)>,
-    /// Shares by service, of the trainers that want work.
+    /// Sum of shares by service, over the trainers with samples to run.
     pub shares: Vec<(ServiceName, u32)>,
 }
 
-/// Answers another entry on the trainers' path.
+/// An answer to a [`RolloutRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum RolloutAnswer {
-    /// The home's answer.
+    /// The home host's answer to a trainer's request.
     Answer(Box<Answer>),
-    /// The message was taken.
+    /// The message was received and processed.
     Taken,
 }
--- a/crates/godwitspool-connection/src/messages/serving.rs
+++ b/crates/godwitspool-connection/src/messages/serving.rs
@@ -1,23 +1,23 @@
-//! Messages between entries on the interactive path.
+//! Messages between entries about interactive serving.
 
 use godwitspool_types::{HostName, TargetName, WeightVersion, Workspace};
 use serde::{Deserialize, Serialize};
 
-/// Asks another entry on the interactive path.
+/// A request to another entry about interactive serving.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ServingRequest {
-    /// Tells where a suspect stands.
+    /// Announces the state of a suspect, a request that may have crashed a target.
     Announce(SuspectRecord),
-    /// Asks the home of a suspect whether a copy of it may run.
+    /// Asks the home host of a suspect whether a copy of it may run.
     AskTrial {
         /// Host that asks.
         host: HostName,
-        /// What it knows.
+        /// What that host knows of the suspect.
         known: SuspectRecord,
     },
-    /// Tells the home of a suspect of a crash.
+    /// Reports a crash to the home host of a suspect.
     Blame {
-        /// Part of the blame, in thousandths.
+        /// Part of the blame, in thousandths of a crash.
         part: u32,
         /// Fingerprint of the request.
         print: u64,
@@ -28,27 +28,27 @@
     Claim {
         /// Host that is to run the request.
         host: HostName,
-        /// Key.
+        /// Idempotency key and its workspace.
         key: KeyName,
         /// Fingerprint of the request.
         print: u64,
     },
-    /// Tells that nothing is held against a fingerprint any more.
+    /// Announces that requests with this fingerprint are no longer suspected.
     Clear(u64),
-    /// Ends a trial with no crash.
+    /// Reports that a trial ended without a crash.
     EndTrial {
         /// Whether the request was answered.
         answered: bool,
         /// Fingerprint of the request.
         print: u64,
     },
-    /// Hands over records of idempotency keys.
+    /// Hands over records of idempotency keys to their new home host.
     HandOver(Vec<KeyItem>),
-    /// Lifts a quarantine.
+    /// Lifts the quarantine of this fingerprint.
     Lift(u64),
-    /// Asks the home of a workspace's limits for a part of them.
+    /// Asks the home host of a workspace's limits for a part of them.
     Limits {
-        /// Requests that came since the last asking.
+        /// Requests that arrived since the last request for limits, including refused ones.
         arrived: u32,
         /// Host that asks.
         host: HostName,
@@ -57,117 +57,119 @@
         /// Workspace.
         workspace: Workspace,
     },
-    /// Tells the load of targets.
+    /// Reports the load of targets.
     Loads(Vec<TargetLoad>),
-    /// Asks whether the other entry is there.
+    /// Asks whether the other entry is reachable.
     Probe,
-    /// Releases a claim whose request didn't run.
+    /// Releases the claim of a request that didn't run.
     Release {
-        /// Host that claimed.
+        /// Host that made the claim.
         host: HostName,
-        /// Key.
+        /// Idempotency key and its workspace.
         key: KeyName,
     },
-    /// Tells what became of a request with an idempotency key.
+    /// Reports the outcome of a request with an idempotency key.
     Settle {
-        /// What became of it.
+        /// Outcome of the request.
         fate: KeyFate,
-        /// Key.
+        /// Idempotency key and its workspace.
         key: KeyName,
     },
 }
 
-/// Answers another entry on the interactive path.
+/// An answer to a [`ServingRequest`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ServingAnswer {
-    /// To a claim.
+    /// Answer to a claim.
     Claim(ClaimReply),
-    /// Done.
+    /// The request was carried out.
     Done,
-    /// A part of a workspace's limits; none while the home is new.
+    /// A part of a workspace's limits; `None` while grants of the previous home host may still be
+    /// valid.
     Grant(Option<LimitPart>),
-    /// The entry is there.
+    /// Answer to a probe.
     Here,
-    /// To the asking for a trial.
+    /// Answer to a request for a trial.
     Trial(TrialReply),
 }
 
 /// An idempotency key of a workspace.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeyName {
-    /// Key, as the caller chose it.
+    /// Key as the caller sent it.
     pub key: String,
     /// Workspace.
     pub workspace: Workspace,
 }
 
-/// What became of a request with an idempotency key.
+/// Outcome of a request with an idempotency key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum KeyFate {
-    /// It was answered; the answer's bytes.
+    /// The request was answered with these bytes.
     Done(Vec<u8>),
-    /// It runs through this host.
+    /// The request is in progress on this entry host.
     Running(HostName),
-    /// It isn't known.
+    /// The request may have run, but its outcome isn't known.
     Unknown,
 }
 
-/// What homes hand over to each other.
+/// A record of idempotency keys that a home host hands over to another host.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum KeyItem {
-    /// A loss of several members at once.
+    /// The loss of several members within a short time, sent to a host that has just joined. Keys
+    /// whose home hosts were all among them may have been used.
     Loss {
-        /// Members before.
+        /// Members before the loss.
         before: Vec<HostName>,
-        /// Members lost.
+        /// Members that were lost.
         gone: Vec<HostName>,
-        /// Milliseconds that the loss still counts.
+        /// Milliseconds until all records that were lost would have expired.
         left_ms: u64,
     },
-    /// A record of a key.
+    /// The record of one key.
     Record {
-        /// What became of the request.
+        /// Outcome of the request.
         fate: KeyFate,
-        /// Key.
+        /// Idempotency key and its workspace.
         key: KeyName,
-        /// Milliseconds that the record is still kept.
+        /// Milliseconds until the record expires.
         left_ms: u64,
         /// Fingerprint of the request.
         print: u64,
     },
 }
 
-/// What a home says to a claim.
+/// The answer of a home host to a claim.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ClaimReply {
-    /// The request was answered before.
+    /// The request was answered before, with these bytes.
     Done(Vec<u8>),
     /// A request with the key is in progress.
     InProgress,
-    /// The key was used with another request.
+    /// The key was used before with a different request.
     Mismatch,
-    /// The key is new.
+    /// The key is new, so the request may run.
     New,
-    /// Whether a request with the key ran isn't known.
+    /// A request with the key may have run.
     Unknown,
 }
 
-/// What is known of a suspect.
+/// What is known of a suspect, a request that may have crashed a target.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SuspectRecord {
-    /// Blame, in thousandths of a crash.
+    /// Sum of its parts of the blame, in thousandths of a crash.
     pub blame: u32,
-    /// Targets that crashed.
+    /// Targets that crashed with the request in flight.
     pub crashed: Vec<TargetName>,
-    /// Crashes.
+    /// Number of crashes with the request in flight.
     pub crashes: u32,
-    /// Milliseconds that it is still quarantined, when it is.
+    /// Milliseconds until the quarantine ends; `None` when the request isn't quarantined.
     pub left_ms: Option<u64>,
     /// Fingerprint of the request.
     pub print: u64,
 }
 
-/// What the home of a suspect says to the asking for a trial.
+/// The answer of a suspect's home host to a request for a trial.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TrialReply {
     /// Another copy is on trial.
@@ -181,18 +183,18 @@
 /// A part of a workspace's limits.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LimitPart {
-    /// Requests in progress at once.
+    /// Requests in progress at the same time.
     pub concurrency: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
 }
 
-/// Load of a target, as it reported it.
+/// Load of a target, as the target reported it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TargetLoad {
-    /// Requests that run or wait.
+    /// Requests that run or are queued on the target.
     pub busy: u32,
-    /// Target.
+    /// Name of the target.
     pub target: TargetName,
     /// Weight version in use.
     pub weights: WeightVersion,
--- a/crates/godwitspool-connection/src/peer.rs
+++ b/crates/godwitspool-connection/src/peer.rs
@@ -1,8 +1,8 @@
 //! Calls between the system's own processes: postcard in frames over TCP.
 //!
 //! A [`Link`] sends requests to one address and matches answers by id, so many calls share one
-//! connection and an answer that comes late is never taken for another's. A [`Server`] answers them
-//! with a bounded number of threads and connections.
+//! connection, and a late answer is never taken for the answer to another call. A [`Server`]
+//! answers them with a bounded number of threads and connections.
 //!
 //! ```
 //! use std::net::TcpListener;
@@ -31,12 +31,17 @@
 pub use link::{Link, LinkBounds, LinkError};
 pub use server::{ServeBounds, Server, ServerCounts};
 
-/// Lets the operating system end a connection whose other end is gone without a word.
-fn watch_silence(stream: &TcpStream, silence: Millis) -> std::io::Result<()> {
+/// Makes the operating system close a connection whose other end has been unreachable for
+/// `timeout`.
+fn enable_keepalive(stream: &TcpStream, timeout: Millis) -> std::io::Result<()> {
     let socket = SockRef::from(stream);
-    let span = silence.duration();
-    let probe = (span / 4).max(std::time::Duration::from_secs(1));
-    socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(probe).with_interval(probe))?;
-    socket.set_tcp_user_timeout(Some(span))?;
+    let timeout = timeout.duration();
+    let interval = (timeout / 4).max(std::time::Duration::from_secs(1));
+    socket.set_tcp_keepalive(
+        &TcpKeepalive::new()
+            .with_time(interval)
+            .with_interval(interval),
+    )?;
+    socket.set_tcp_user_timeout(Some(timeout))?;
     stream.set_nodelay(true)
 }
--- a/crates/godwitspool-connection/src/peer/frame.rs
+++ b/crates/godwitspool-connection/src/peer/frame.rs
@@ -1,12 +1,12 @@
-//! Frames: a mark, a length and a postcard body.
+//! Frames: four magic bytes, the length of the body (u32, little-endian) and the postcard body.
 
 use std::io::{self, Read, Write};
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Opens every frame and names the protocol's version.
-const MARK: [u8; 4] = *b"GWS1";
+/// First bytes of every frame; they name the protocol and its version.
+const MAGIC: [u8; 4] = *b"GWS1";
 const HEADER_BYTES: usize = 8;
 
 /// Why a frame could not be read or written.
@@ -16,108 +16,109 @@
     /// The connection ended or failed.
     #[snafu(display("connection failed: {source}"))]
     Connection {
-        /// Cause.
+        /// Error of the socket.
         source: io::Error,
     },
     /// The connection ended within a frame.
-    #[snafu(display("connection ended within a frame, {missing} bytes before its end"))]
-    Cut {
-        /// Bytes that are missing at least.
+    #[snafu(display("connection ended within a frame, at least {missing} bytes are missing"))]
+    Truncated {
+        /// Minimum number of missing bytes. While the header is incomplete, only its own are
+        /// counted.
         missing: usize,
     },
-    /// The body is not a message of the expected type.
+    /// The body doesn't decode to a message of the expected type.
     #[snafu(display("frame body of {bytes} bytes can't be decoded: {source}"))]
     Damaged {
         /// Size of the body.
         bytes: usize,
-        /// Cause.
+        /// Error of the decoder.
         source: postcard::Error,
     },
     /// The message can't be encoded.
     #[snafu(display("message can't be encoded: {source}"))]
     Encode {
-        /// Cause.
+        /// Error of the encoder.
         source: postcard::Error,
     },
-    /// The frame doesn't begin with the protocol's mark.
-    #[snafu(display("frame begins with {found:02x?}, expected {MARK:02x?}"))]
-    Mark {
-        /// What was found.
+    /// The frame doesn't begin with the protocol's magic bytes.
+    #[snafu(display("frame begins with {found:02x?}, expected {MAGIC:02x?}"))]
+    Magic {
+        /// First bytes of the frame.
         found: [u8; 4],
     },
-    /// The frame is larger than allowed.
-    #[snafu(display("frame of {bytes} bytes exceeds the bound of {bound} bytes"))]
+    /// The body is larger than allowed.
+    #[snafu(display("frame body of {bytes} bytes exceeds the limit of {max_bytes} bytes"))]
     Oversize {
         /// Size of the body.
         bytes: usize,
-        /// Largest size allowed.
-        bound: usize,
+        /// Maximum size of a body.
+        max_bytes: usize,
     },
-    /// Bytes are left over behind the message.
-    #[snafu(display("frame has {bytes} bytes behind its message"))]
+    /// The body has bytes after the message.
+    #[snafu(display("frame body has {bytes} extra bytes after its message"))]
     Trailing {
-        /// How many.
+        /// Number of extra bytes.
         bytes: usize,
     },
 }
 
 impl FrameError {
-    /// Returns whether the connection itself failed, rather than what came over it.
+    /// Returns whether the connection failed, as opposed to an invalid frame.
     pub fn is_connection(&self) -> bool {
         matches!(self, Self::Connection { .. })
     }
 }
 
-/// A message with the id that matches answers to requests.
+/// A message with the id that matches an answer to its request.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct Tagged<T> {
     pub id: u64,
     pub body: T,
 }
 
-/// Encodes a frame.
-pub(super) fn encode(message: &impl Serialize, bound: usize) -> Result<Vec<u8>, FrameError> {
+/// Encodes a message as a frame whose body has at most `max_bytes` bytes.
+pub(super) fn encode(message: &impl Serialize, max_bytes: usize) -> Result<Vec<u8>, FrameError> {
     let frame = vec![0; HEADER_BYTES];
     let mut frame = postcard::to_extend(message, frame).context(EncodeSnafu)?;
     let bytes = frame.len() - HEADER_BYTES;
-    ensure!(bytes <= bound, OversizeSnafu { bytes, bound });
-    frame[..4].copy_from_slice(&MARK);
+    ensure!(bytes <= max_bytes, OversizeSnafu { bytes, max_bytes });
+    frame[..4].copy_from_slice(&MAGIC);
     frame[4..HEADER_BYTES].copy_from_slice(&(bytes as u32).to_le_bytes());
     Ok(frame)
 }
 
-/// Writes a frame in one piece.
+/// Writes an encoded frame.
 pub(super) fn write(mut writer: impl Write, frame: &[u8]) -> Result<(), FrameError> {
     writer.write_all(frame).context(ConnectionSnafu)
 }
 
-/// Reads a frame's body; nothing when the connection ended between frames.
+/// Reads a frame's body; returns `None` when the connection ended between two frames.
 ///
-/// Memory grows with what arrives, not with what the header claims.
-pub(super) fn read(mut reader: impl Read, bound: usize) -> Result<Option<Vec<u8>>, FrameError> {
+/// Allocates memory only for bytes that arrive, not for the length that the header claims.
+pub(super) fn read(mut reader: impl Read, max_bytes: usize) -> Result<Option<Vec<u8>>, FrameError> {
     let header = read_up_to(&mut reader, HEADER_BYTES)?;
     if header.is_empty() {
         return Ok(None);
     }
     let Ok(header) = <[u8; HEADER_BYTES]>::try_from(header.as_slice()) else {
         let missing = HEADER_BYTES - header.len();
-        return CutSnafu { missing }.fail();
+        return TruncatedSnafu { missing }.fail();
     };
     let [m0, m1, m2, m3, l0, l1, l2, l3] = header;
     let found = [m0, m1, m2, m3];
-    ensure!(found == MARK, MarkSnafu { found });
+    ensure!(found == MAGIC, MagicSnafu { found });
     let bytes = u32::from_le_bytes([l0, l1, l2, l3]) as usize;
-    ensure!(bytes <= bound, OversizeSnafu { bytes, bound });
+    ensure!(bytes <= max_bytes, OversizeSnafu { bytes, max_bytes });
     let body = read_up_to(&mut reader, bytes)?;
     let missing = bytes - body.len();
-    ensure!(missing == 0, CutSnafu { missing });
+    ensure!(missing == 0, TruncatedSnafu { missing });
     Ok(Some(body))
 }
 
 fn read_up_to(reader: impl Read, bytes: usize) -> Result<Vec<u8>, FrameError> {
     let mut body = Vec::new();
-    let mut part = reader.take(bytes as u64);
-    part.read_to_end(&mut body).context(ConnectionSnafu)?;
+    let mut limited = reader.take(bytes as u64);
+    limited.read_to_end(&mut body).context(ConnectionSnafu)?;
     Ok(body)
 }
 
--- a/crates/godwitspool-connection/src/peer/link.rs
+++ b/crates/godwitspool-connection/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! The calling end.
+//! The client side of calls between processes.
 
 use std::{
     collections::HashMap,
@@ -18,20 +18,21 @@
 use snafu::{ResultExt, Snafu};
 
 use super::{
+    enable_keepalive,
     frame::{self, FrameError, Tagged},
-    watch_silence,
 };
 
-/// Bounds of a [`Link`].
+/// Timeouts and limits of a [`Link`].
 #[derive(Clone, Copy, Debug)]
 pub struct LinkBounds {
-    /// Time to open a connection.
+    /// Timeout for opening a connection; 500 ms by default.
     pub connect_timeout: Millis,
-    /// Time from sending a request to its answer.
+    /// Timeout from sending a request to its answer; 3 s by default.
     pub answer_timeout: Millis,
-    /// Largest frame, in bytes.
+    /// Maximum size of a frame's body; 16 MiB by default.
     pub max_frame_bytes: usize,
-    /// Silence after which the operating system ends the connection.
+    /// Time after which the operating system closes a connection whose other end is unreachable.
+    /// The default is 8 s.
     pub keepalive_timeout: Millis,
 }
 
@@ -47,70 +48,70 @@
 }
 
 impl LinkBounds {
-    /// Sets the time to open a connection.
+    /// Sets the timeout for opening a connection.
     pub fn with_connect_timeout(mut self, connect_timeout: Millis) -> Self {
         self.connect_timeout = connect_timeout;
         self
     }
 
-    /// Sets the time from sending a request to its answer.
+    /// Sets the timeout from sending a request to its answer.
     pub fn with_answer_timeout(mut self, answer_timeout: Millis) -> Self {
         self.answer_timeout = answer_timeout;
         self
     }
 
-    /// Sets the largest frame, in bytes.
+    /// Sets the maximum size of a frame's body, in bytes.
     pub fn with_max_frame_bytes(mut self, max_frame_bytes: usize) -> Self {
         self.max_frame_bytes = max_frame_bytes;
         self
     }
 }
 
-/// Why a call has no answer.
+/// Why a call returned no answer.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
     /// No connection could be opened; nothing was sent.
     #[snafu(display("can't connect to {address}: {source}"))]
     Connect {
-        /// Address called.
+        /// Address of the server.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the socket.
         source: io::Error,
     },
-    /// The request does not fit a frame; nothing was sent.
-    #[snafu(display("request to {address} can't be framed: {source}"))]
+    /// The request can't be encoded as a frame; nothing was sent.
+    #[snafu(display("request to {address} can't be encoded: {source}"))]
     Request {
-        /// Address called.
+        /// Address of the server.
         address: SocketAddr,
-        /// Cause.
+        /// What is wrong with the frame.
         source: FrameError,
     },
-    /// The answer did not come in time.
-    #[snafu(display("no answer from {address} within {bound}"))]
+    /// No answer arrived within the timeout.
+    #[snafu(display("no answer from {address} within {timeout}"))]
     Timeout {
-        /// Address called.
+        /// Address of the server.
         address: SocketAddr,
-        /// Time waited.
-        bound: Millis,
+        /// The timeout.
+        timeout: Millis,
     },
-    /// The connection ended before the answer.
-    #[snafu(display("connection to {address} ended before the answer"))]
+    /// The connection closed before the answer arrived.
+    #[snafu(display("connection to {address} closed before the answer arrived"))]
     Closed {
-        /// Address called.
+        /// Address of the server.
         address: SocketAddr,
     },
     /// The answer can't be decoded.
-    #[snafu(display("answer from {address} can't be read: {source}"))]
+    #[snafu(display("answer from {address} can't be decoded: {source}"))]
     Answer {
-        /// Address called.
+        /// Address of the server.
         address: SocketAddr,
-        /// Cause.
+        /// What is wrong with the frame.
         source: FrameError,
     },
 }
 
 impl LinkError {
-    /// Returns whether the other end may have carried out the request.
+    /// Returns whether the server may have processed the request.
     pub fn ran(&self) -> Ran {
         match self {
             Self::Connect { .. } | Self::Request { .. } => Ran::NotRun,
@@ -120,16 +121,16 @@
     }
 }
 
-/// Calls one address over one connection, which is opened when needed.
+/// A client of one address. All calls share one connection, which is opened when needed.
 ///
-/// Calls of several threads are in flight together. A connection on which a call timed out takes no
-/// further call; those under way on it end by their own bounds.
+/// Several threads may call at the same time. After a call has timed out, new calls use a new
+/// connection; calls in flight on the old one wait until their own timeouts.
 pub struct Link<Request, Answer> {
     address: SocketAddr,
     bounds: LinkBounds,
     current: Mutex<Option<Arc<Connection>>>,
     dropped: Arc<AtomicU64>,
-    next: AtomicU64,
+    next_id: AtomicU64,
     types: PhantomData<fn(Request) -> Answer>,
 }
 
@@ -143,65 +144,70 @@
 }
 
 impl<Request: Serialize, Answer: DeserializeOwned> Link<Request, Answer> {
-    /// Makes a link that opens its connection at the first call.
+    /// Creates a link; the first call opens its connection.
     pub fn new(address: SocketAddr, bounds: LinkBounds) -> Self {
         Self {
             address,
             bounds,
             current: Mutex::default(),
             dropped: Arc::default(),
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
             types: PhantomData,
         }
     }
 
-    /// Returns the address called.
+    /// Returns the address that the link calls.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many answers came late or with an unknown id and were dropped.
+    /// Returns the number of answers that were dropped because they came after the timeout or had
+    /// an unknown id.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its answer, up to the link's timeout.
     ///
     /// # Errors
     ///
-    /// [`LinkError::ran`] says whether the other end may have carried out the request.
+    /// [`LinkError::ran`] returns whether the server may have processed the request.
     pub fn call(&self, request: &Request) -> Result<Answer, LinkError> {
         self.call_with_timeout(request, self.bounds.answer_timeout)
     }
 
-    /// Sends a request and waits for its answer for a time of its own.
+    /// Sends a request and waits for its answer, up to `timeout`.
     ///
     /// # Errors
     ///
-    /// [`LinkError::ran`] says whether the other end may have carried out the request.
-    pub fn call_with_timeout(&self, request: &Request, bound: Millis) -> Result<Answer, LinkError> {
+    /// [`LinkError::ran`] returns whether the server may have processed the request.
+    pub fn call_with_timeout(
+        &self,
+        request: &Request,
+        timeout: Millis,
+    ) -> Result<Answer, LinkError> {
         let address = self.address;
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let message = Tagged { id, body: request };
-        let sent = frame::encode(&message, self.bounds.max_frame_bytes)
+        let frame = frame::encode(&message, self.bounds.max_frame_bytes)
             .context(RequestSnafu { address })?;
         let connection = self.connection()?;
         let (sender, receiver) = mpsc::channel();
-        if !connection.waiting.enter(id, sender) || connection.send(&sent).is_err() {
-            self.retire(&connection);
+        if !connection.calls.insert(id, sender) || connection.send(&frame).is_err() {
+            self.discard(&connection);
             connection.close();
             return ClosedSnafu { address }.fail();
         }
-        let answer = receiver.recv_timeout(bound.duration());
-        connection.waiting.leave(id);
+        let answer = receiver.recv_timeout(timeout.duration());
+        connection.calls.cancel(id);
         match answer {
             Ok(body) => decode_answer(&body).context(AnswerSnafu { address }),
             Err(RecvTimeoutError::Timeout) => {
-                self.retire(&connection);
-                TimeoutSnafu { address, bound }.fail()
+                self.discard(&connection);
+                TimeoutSnafu { address, timeout }.fail()
             }
             Err(RecvTimeoutError::Disconnected) => {
-                self.retire(&connection);
+                self.discard(&connection);
                 ClosedSnafu { address }.fail()
             }
         }
@@ -209,7 +215,7 @@
 
     fn connection(&self) -> Result<Arc<Connection>, LinkError> {
         let mut current = lock(&self.current);
-        if let Some(connection) = current.as_ref().filter(|c| c.waiting.is_open()) {
+        if let Some(connection) = current.as_ref().filter(|c| c.calls.is_open()) {
             return Ok(Arc::clone(connection));
         }
         let connection =
@@ -221,7 +227,8 @@
         Ok(connection)
     }
 
-    fn retire(&self, connection: &Arc<Connection>) {
+    /// Makes further calls use a new connection.
+    fn discard(&self, connection: &Arc<Connection>) {
         let mut current = lock(&self.current);
         if current.as_ref().is_some_and(|c| Arc::ptr_eq(c, connection)) {
             *current = None;
@@ -229,36 +236,34 @@
     }
 }
 
-/// Decodes an answer's body behind its id.
+/// Decodes an answer and removes its id.
 fn decode_answer<Answer: DeserializeOwned>(body: &[u8]) -> Result<Answer, FrameError> {
     frame::decode::<Tagged<Answer>>(body).map(|message| message.body)
 }
 
-// ---
-
-/// One connection. It closes with the last call that holds it.
+/// One connection. It closes when the link and all calls have dropped it.
 struct Connection {
     stream: TcpStream,
-    waiting: Arc<Waiting>,
+    calls: Arc<PendingCalls>,
     writer: Mutex<TcpStream>,
 }
 
 impl Connection {
     fn open(address: SocketAddr, bounds: LinkBounds, dropped: &Arc<AtomicU64>) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&address, bounds.connect_timeout.duration())?;
-        watch_silence(&stream, bounds.keepalive_timeout)?;
+        enable_keepalive(&stream, bounds.keepalive_timeout)?;
         stream.set_write_timeout(Some(bounds.answer_timeout.duration()))?;
         let writer = Mutex::new(stream.try_clone()?);
         let reader = stream.try_clone()?;
-        let waiting = Arc::new(Waiting::default());
-        let read_for = Arc::clone(&waiting);
+        let calls = Arc::new(PendingCalls::default());
+        let pending = Arc::clone(&calls);
         let dropped = Arc::clone(dropped);
         thread::Builder::new()
             .name("peer-read".to_owned())
-            .spawn(move || read_answers(&reader, &read_for, &dropped, bounds.max_frame_bytes))?;
+            .spawn(move || read_answers(&reader, &pending, &dropped, bounds.max_frame_bytes))?;
         Ok(Self {
             stream,
-            waiting,
+            calls,
             writer,
         })
     }
@@ -268,7 +273,7 @@
     }
 
     fn close(&self) {
-        // It may be closed already.
+        // The connection may be closed already.
         drop(self.stream.shutdown(Shutdown::Both));
     }
 }
@@ -279,41 +284,47 @@
     }
 }
 
-fn read_answers(stream: &TcpStream, waiting: &Waiting, dropped: &AtomicU64, frame_bytes: usize) {
+fn read_answers(
+    stream: &TcpStream,
+    calls: &PendingCalls,
+    dropped: &AtomicU64,
+    max_frame_bytes: usize,
+) {
     loop {
-        let body = match frame::read(stream, frame_bytes) {
+        let body = match frame::read(stream, max_frame_bytes) {
             Ok(Some(body)) => body,
             Ok(None) => break,
             Err(error) => {
                 if !error.is_connection() {
-                    log::warn!(peer:? = stream.peer_addr().ok(); "{error}");
+                    log::warn!(peer:? = stream.peer_addr().ok(); "closing connection: {error}");
                 }
                 break;
             }
         };
         let sender = postcard::take_from_bytes::<u64>(&body)
             .ok()
-            .and_then(|(id, _)| waiting.take(id));
+            .and_then(|(id, _)| calls.remove(id));
         let delivered = sender.is_some_and(|sender| sender.send(body).is_ok());
         if !delivered {
             dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
     drop(stream.shutdown(Shutdown::Both));
-    waiting.close();
+    calls.close();
 }
 
-/// Calls that wait for an answer, by id; `None` once the connection has ended.
-struct Waiting(Mutex<Option<HashMap<u64, Sender<Vec<u8>>>>>);
+/// Senders for the answers to pending calls, by id; `None` once the connection has closed.
+struct PendingCalls(Mutex<Option<HashMap<u64, Sender<Vec<u8>>>>>);
 
-impl Default for Waiting {
+impl Default for PendingCalls {
     fn default() -> Self {
         Self(Mutex::new(Some(HashMap::new())))
     }
 }
 
-impl Waiting {
-    fn enter(&self, id: u64, sender: Sender<Vec<u8>>) -> bool {
+impl PendingCalls {
+    /// Adds a call; returns false when the connection has closed.
+    fn insert(&self, id: u64, sender: Sender<Vec<u8>>) -> bool {
         let mut calls = lock(&self.0);
         let Some(calls) = calls.as_mut() else {
             return false;
@@ -322,11 +333,11 @@
         true
     }
 
-    fn leave(&self, id: u64) {
-        self.take(id);
+    fn cancel(&self, id: u64) {
+        self.remove(id);
     }
 
-    fn take(&self, id: u64) -> Option<Sender<Vec<u8>>> {
+    fn remove(&self, id: u64) -> Option<Sender<Vec<u8>>> {
         lock(&self.0).as_mut()?.remove(&id)
     }
 
--- a/crates/godwitspool-connection/src/peer/pool.rs
+++ b/crates/godwitspool-connection/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! A bounded pool of threads that grows when work waits.
+//! A bounded thread pool that grows when jobs are queued.
 
 use std::{
     collections::VecDeque,
@@ -8,12 +8,12 @@
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Runs jobs on at most a set number of threads.
+/// Runs jobs on at most a fixed number of threads.
 #[derive(Clone)]
 pub(super) struct Pool(Arc<Shared>);
 
 struct Shared {
-    bound: usize,
+    max_threads: usize,
     state: Mutex<State>,
     changed: Condvar,
 }
@@ -27,25 +27,26 @@
 }
 
 impl Pool {
-    pub fn new(bound: usize) -> Self {
+    pub fn new(max_threads: usize) -> Self {
         Self(Arc::new(Shared {
-            bound,
+            max_threads,
             state: Mutex::default(),
             changed: Condvar::new(),
         }))
     }
 
-    /// Hands over a job; waits while as many jobs wait as there may be threads.
-    pub fn run(&self, job: Job) {
+    /// Queues a job. Blocks while as many jobs are queued as there may be threads; drops the job
+    /// when the pool has stopped.
+    pub fn submit(&self, job: Job) {
         let mut state = self.0.lock();
-        while state.jobs.len() >= self.0.bound && !state.stopped {
+        while state.jobs.len() >= self.0.max_threads && !state.stopped {
             state = self.0.wait(state);
         }
         if state.stopped {
             return;
         }
         state.jobs.push_back(job);
-        if state.idle < state.jobs.len() && state.threads < self.0.bound {
+        if state.idle < state.jobs.len() && state.threads < self.0.max_threads {
             state.threads += 1;
             let shared = Arc::clone(&self.0);
             let worker = thread::Builder::new().name("peer-work".to_owned());
@@ -57,7 +58,7 @@
         self.0.changed.notify_all();
     }
 
-    /// Ends the threads once they have done the jobs that wait.
+    /// Takes no further jobs and ends the threads once the queued ones are done.
     pub fn stop(&self) {
         self.0.lock().stopped = true;
         self.0.changed.notify_all();
@@ -83,8 +84,9 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Runs jobs until the pool stops.
     fn work(&self) {
-        let _leave = Leave(self);
+        let _exit = ThreadExit(self);
         let mut state = self.lock();
         loop {
             if let Some(job) = state.jobs.pop_front() {
@@ -103,10 +105,10 @@
     }
 }
 
-/// Counts a thread out, also when its job panicked.
-struct Leave<'a>(&'a Shared);
+/// Decrements the number of threads on drop, so also when a job panics.
+struct ThreadExit<'a>(&'a Shared);
 
-impl Drop for Leave<'_> {
+impl Drop for ThreadExit<'_> {
     fn drop(&mut self) {
         self.0.lock().threads -= 1;
         self.0.changed.notify_all();
--- a/crates/godwitspool-connection/src/peer/server.rs
+++ b/crates/godwitspool-connection/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The answering end.
+//! The server side of calls between processes.
 
 use std::{
     collections::HashMap,
@@ -17,23 +17,25 @@
 use socket2::SockRef;
 
 use super::{
+    enable_keepalive,
     frame::{self, FrameError, Tagged},
     pool::Pool,
-    watch_silence,
 };
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after a failed accept, so that a lasting error, such as a lack of file descriptors,
+/// doesn't cause a busy loop.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Bounds of a [`Server`].
+/// Timeouts and limits of a [`Server`].
 #[derive(Clone, Copy, Debug)]
 pub struct ServeBounds {
-    /// Most connections; a further one is closed at once.
+    /// Maximum number of open connections; a further one is closed at once. 512 by default.
     pub max_connections: usize,
-    /// Largest frame, in bytes.
+    /// Maximum size of a frame's body; 16 MiB by default.
     pub max_frame_bytes: usize,
-    /// Idle time after which a connection is closed.
+    /// Time without received data after which a connection is closed; 60 s by default.
     pub idle_timeout: Millis,
-    /// Most calls in progress.
+    /// Maximum number of calls in progress; 256 by default.
     pub max_threads: usize,
 }
 
@@ -49,47 +51,47 @@
 }
 
 impl ServeBounds {
-    /// Sets the most connections.
+    /// Sets the maximum number of open connections.
     pub fn with_max_connections(mut self, max_connections: usize) -> Self {
         self.max_connections = max_connections;
         self
     }
 
-    /// Sets the largest frame, in bytes.
+    /// Sets the maximum size of a frame's body, in bytes.
     pub fn with_max_frame_bytes(mut self, max_frame_bytes: usize) -> Self {
         self.max_frame_bytes = max_frame_bytes;
         self
     }
 
-    /// Sets the idle time after which a connection is closed.
+    /// Sets the time without received data after which a connection is closed.
     pub fn with_idle_timeout(mut self, idle_timeout: Millis) -> Self {
         self.idle_timeout = idle_timeout;
         self
     }
 
-    /// Sets the most calls in progress.
+    /// Sets the maximum number of calls in progress.
     pub fn with_max_threads(mut self, max_threads: usize) -> Self {
         self.max_threads = max_threads;
         self
     }
 }
 
-/// What a [`Server`] has counted.
+/// Counters of a [`Server`] since its start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ServerCounts {
-    /// Accept calls that failed.
+    /// Failed accepts.
     pub accept_errors: u64,
-    /// Calls answered.
+    /// Calls whose answer was written to the connection.
     pub answered: u64,
-    /// Connections closed for a frame that was cut, damaged or too large.
+    /// Connections that were closed for a truncated, invalid or oversized frame.
     pub damaged: u64,
-    /// Connections open now.
+    /// Connections that are open now.
     pub open: usize,
-    /// Connections refused because too many were open.
+    /// Connections that were closed at once because too many were open.
     pub refused: u64,
 }
 
-/// Answers calls on a listener until it is stopped or dropped.
+/// A server that answers calls on a listener until it is stopped or dropped.
 pub struct Server {
     address: SocketAddr,
     listener: TcpListener,
@@ -118,11 +120,11 @@
 }
 
 impl Server {
-    /// Starts to answer calls with `handler`, which may be called by several threads at once.
+    /// Starts a server that answers calls with `handler`. Several threads call it at the same time.
     ///
     /// # Errors
     ///
-    /// When the listener has no address or no thread can be started.
+    /// Returns an error when the listener has no address or no thread can be started.
     pub fn start<Request, Answer>(
         listener: TcpListener,
         bounds: ServeBounds,
@@ -135,31 +137,31 @@
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared::default());
         let pool = Pool::new(bounds.max_threads);
-        let accept = Accept {
+        let acceptor = Acceptor {
             bounds,
             handler: Arc::new(handler),
             pool: pool.clone(),
             shared: Arc::clone(&shared),
         };
-        let own = listener.try_clone()?;
+        let wake = listener.try_clone()?;
         let thread = thread::Builder::new()
             .name("peer-accept".to_owned())
-            .spawn(move || accept.run(&listener))?;
+            .spawn(move || acceptor.run(&listener))?;
         Ok(Self {
             address,
-            listener: own,
+            listener: wake,
             pool,
             shared,
             thread: Some(thread),
         })
     }
 
-    /// Returns the address served.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns what was counted so far.
+    /// Returns the current counters.
     pub fn counts(&self) -> ServerCounts {
         ServerCounts {
             accept_errors: self.shared.accept_errors.load(Ordering::Relaxed),
@@ -170,17 +172,18 @@
         }
     }
 
-    /// Takes no further call, answers those in progress and closes the connections.
+    /// Accepts no further calls, answers those in progress and closes the connections.
     pub fn stop(mut self) {
-        self.end();
+        self.shut_down();
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         let Some(thread) = self.thread.take() else {
             return;
         };
         self.shared.stopped.store(true, Ordering::Release);
-        // Wakes the accept call; a listener that failed before is woken already.
+        // Wakes the blocking accept. This fails when the listener has failed before; then accept
+        // has returned already.
         drop(SockRef::from(&self.listener).shutdown(Shutdown::Both));
         drop(thread.join());
         self.shared.shutdown(Shutdown::Read);
@@ -192,7 +195,7 @@
 
 impl Drop for Server {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
@@ -203,29 +206,27 @@
 
     fn shutdown(&self, how: Shutdown) {
         for stream in self.open().values() {
-            // The other end may have closed it already.
+            // The other end may have closed the connection already.
             drop(stream.shutdown(how));
         }
     }
 }
 
-// ---
-
-struct Accept<Handler> {
+struct Acceptor<Handler> {
     bounds: ServeBounds,
     handler: Arc<Handler>,
     pool: Pool,
     shared: Arc<Shared>,
 }
 
-impl<Handler> Accept<Handler> {
+impl<Handler> Acceptor<Handler> {
     fn run<Request, Answer>(&self, listener: &TcpListener)
     where
         Handler: Fn(Request) -> Answer + Send + Sync + 'static,
         Request: DeserializeOwned + Send + 'static,
         Answer: Serialize + 'static,
     {
-        let mut next = 0;
+        let mut last_id = 0;
         while !self.shared.stopped.load(Ordering::Acquire) {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
@@ -233,17 +234,18 @@
                 Err(error) => {
                     self.shared.accept_errors.fetch_add(1, Ordering::Relaxed);
                     log::warn!("accept failed: {error}");
-                    thread::sleep(ACCEPT_PAUSE);
+                    thread::sleep(ACCEPT_BACKOFF);
                     continue;
                 }
             };
-            next += 1;
-            if let Err(error) = self.admit(next, stream) {
-                log::warn!("connection not served: {error}");
+            last_id += 1;
+            if let Err(error) = self.admit(last_id, stream) {
+                log::warn!("connection can't be served: {error}");
             }
         }
     }
 
+    /// Starts a thread that reads the connection's requests, or closes it when too many are open.
     fn admit<Request, Answer>(&self, id: u64, stream: TcpStream) -> io::Result<()>
     where
         Handler: Fn(Request) -> Answer + Send + Sync + 'static,
@@ -254,10 +256,10 @@
             self.shared.refused.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        let span = self.bounds.idle_timeout.duration();
-        watch_silence(&stream, self.bounds.idle_timeout)?;
-        stream.set_read_timeout(Some(span))?;
-        stream.set_write_timeout(Some(span))?;
+        let timeout = self.bounds.idle_timeout.duration();
+        enable_keepalive(&stream, self.bounds.idle_timeout)?;
+        stream.set_read_timeout(Some(timeout))?;
+        stream.set_write_timeout(Some(timeout))?;
         let writer = Arc::new(Mutex::new(stream.try_clone()?));
         self.shared.open().insert(id, stream.try_clone()?);
         let session = Session {
@@ -294,17 +296,17 @@
         Request: DeserializeOwned + Send + 'static,
         Answer: Serialize + 'static,
     {
-        if let Err(error) = self.read_all(stream)
+        if let Err(error) = self.read_requests(stream)
             && !error.is_connection()
         {
             self.shared.damaged.fetch_add(1, Ordering::Relaxed);
-            log::warn!(peer:? = stream.peer_addr().ok(); "{error}");
+            log::warn!(peer:? = stream.peer_addr().ok(); "closing connection: {error}");
         }
-        // Answers in progress are still written; the other end sees the close behind them.
+        // Answers in progress are still written; the connection closes after them.
         self.shared.open().remove(&self.id);
     }
 
-    fn read_all<Request, Answer>(&self, stream: &TcpStream) -> Result<(), FrameError>
+    fn read_requests<Request, Answer>(&self, stream: &TcpStream) -> Result<(), FrameError>
     where
         Handler: Fn(Request) -> Answer + Send + Sync + 'static,
         Request: DeserializeOwned + Send + 'static,
@@ -325,15 +327,15 @@
         let handler = Arc::clone(&self.handler);
         let writer = Arc::clone(&self.writer);
         let shared = Arc::clone(&self.shared);
-        let bound = self.bounds.max_frame_bytes;
-        self.pool.run(Box::new(move || {
+        let max_frame_bytes = self.bounds.max_frame_bytes;
+        self.pool.submit(Box::new(move || {
             let answer = Tagged {
                 id: message.id,
                 body: handler(message.body),
             };
             let writer = writer.lock().unwrap_or_else(PoisonError::into_inner);
-            let written =
-                frame::encode(&answer, bound).and_then(|frame| frame::write(&*writer, &frame));
+            let written = frame::encode(&answer, max_frame_bytes)
+                .and_then(|frame| frame::write(&*writer, &frame));
             match written {
                 Ok(()) => {
                     shared.answered.fetch_add(1, Ordering::Relaxed);
--- a/crates/godwitspool-connection/src/plain_call.rs
+++ b/crates/godwitspool-connection/src/plain_call.rs
@@ -1,4 +1,4 @@
-//! Calls that pass through to plain services.
+//! Calls that are forwarded to plain services.
 
 use std::net::SocketAddr;
 
@@ -9,8 +9,9 @@
 
 use crate::call_error::CallError;
 
-/// Headers of a caller that may reach a target. Everything else stays here, keys above all.
-const PASSED_TO_TARGET: [&str; 6] = [
+/// Request headers that are forwarded to a target. All others are dropped, above all those that may
+/// hold the caller's key.
+const REQUEST_HEADERS: [&str; 6] = [
     "accept",
     "accept-language",
     "content-type",
@@ -18,8 +19,8 @@
     "if-none-match",
     "x-request-id",
 ];
-/// Headers of a target that may reach a caller.
-const PASSED_TO_CALLER: [&str; 6] = [
+/// Response headers that are forwarded to the caller.
+const RESPONSE_HEADERS: [&str; 6] = [
     "cache-control",
     "content-language",
     "content-type",
@@ -28,27 +29,27 @@
     "retry-after",
 ];
 
-/// A header that passes through.
+/// An HTTP header.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Header {
     /// Name, in lower case.
     pub name: String,
-    /// Value.
+    /// Value, as UTF-8.
     pub value: String,
 }
 
 /// A call to a plain service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlainCall {
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// Headers as the caller sent them; only those that may pass are sent on.
+    /// Headers as the caller sent them. Only those that a target may see are forwarded.
     pub headers: Vec<Header>,
-    /// Whether running twice does no harm.
+    /// Whether the call may run twice without harm.
     pub idempotent: bool,
-    /// Method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
 }
 
@@ -60,7 +61,7 @@
         for header in self
             .headers
             .iter()
-            .filter(|header| passes(&PASSED_TO_TARGET, &header.name))
+            .filter(|header| is_listed(&REQUEST_HEADERS, &header.name))
         {
             request = request.header(&header.name, &header.value);
         }
@@ -75,11 +76,11 @@
 /// The answer of a plain service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlainAnswer {
-    /// Body, whole.
+    /// Body of the answer.
     pub body: Vec<u8>,
-    /// Headers that may pass to the caller.
+    /// Headers that are forwarded to the caller.
     pub headers: Vec<Header>,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
 }
 
@@ -89,7 +90,7 @@
         let headers = response
             .headers()
             .iter()
-            .filter(|(name, _)| passes(&PASSED_TO_CALLER, name.as_str()))
+            .filter(|(name, _)| is_listed(&RESPONSE_HEADERS, name.as_str()))
             .filter_map(|(name, value)| {
                 let value = value.to_str().ok()?.to_owned();
                 Some(Header {
@@ -108,6 +109,6 @@
     }
 }
 
-fn passes(list: &[&str], name: &str) -> bool {
-    list.iter().any(|passed| passed.eq_ignore_ascii_case(name))
+fn is_listed(list: &[&str], name: &str) -> bool {
+    list.iter().any(|listed| listed.eq_ignore_ascii_case(name))
 }
--- a/crates/godwitspool-connection/src/platform.rs
+++ b/crates/godwitspool-connection/src/platform.rs
@@ -4,8 +4,8 @@
 //! |---|---|---|
 //! | `POST /log/append` | [`AppendRequest`] | [`Appended`], 429 over the append rate, 503 in an outage |
 //! | `GET /log?from=N&max=M` | none | [`LogPage`] |
-//! | `GET /hosts` | none | [`HostList`], lagging |
-//! | `GET /targets` | none | [`TargetList`], lagging |
+//! | `GET /hosts` | none | [`HostList`], lagging behind the true state |
+//! | `GET /targets` | none | [`TargetList`], lagging behind the true state |
 //! | `POST /orders` | [`TargetOrder`] | [`OrderAnswer`] |
 //! | `POST /usage` | [`UsageReport`] | 200 once stored, 409 when the figures differ from those stored |
 //! | `GET /weights/MODEL/VERSION` | none | the weights' bytes, 429 over the store's rate |
@@ -17,42 +17,42 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Appends records in their order, all or none.
+/// Request to append records to the log in this order, all or none.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AppendRequest {
     /// Bodies of the records.
     pub records: Vec<String>,
 }
 
-/// Tells where records were appended.
+/// Answer to an append.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Appended {
-    /// Offset of the first record of the append.
+    /// Offset of the first appended record.
     pub first: Offset,
 }
 
 /// A record of the log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LogRecord {
-    /// Body, as appended.
+    /// Body as it was appended.
     pub body: String,
-    /// Position.
+    /// Position in the log.
     pub offset: Offset,
 }
 
-/// Records from an offset on.
+/// Records of the log, read from an offset on.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LogPage {
-    /// End of the log: the offset that the next append gets.
+    /// End of the log: the offset of the next append.
     pub end: Offset,
-    /// Records in order of offset; the first one's offset is above the one asked for when retention
-    /// has removed records between.
+    /// Records in order of offset. The first one's offset is above the requested one when retention
+    /// has removed the records in between.
     pub records: Vec<LogRecord>,
-    /// The oldest offset that is still kept.
+    /// Offset of the oldest record that is still stored.
     pub retained: Offset,
 }
 
-/// The platform's lagging list of hosts.
+/// The platform's list of hosts, which lags behind the true state.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HostList {
     /// The hosts.
@@ -66,17 +66,17 @@
     pub address: IpAddr,
     /// Data centre.
     pub dc: Dc,
-    /// Port on which entries talk to entries over TCP.
+    /// TCP port for calls from other entries.
     pub entry_port: u16,
-    /// Name.
+    /// Name of the host.
     pub host: HostName,
     /// Set when the host is about to leave.
     pub leaving: bool,
-    /// Port on which stewards are asked over TCP and gossip over UDP.
+    /// Port of the steward, for calls over TCP and gossip over UDP.
     pub steward_port: u16,
 }
 
-/// The platform's lagging list of targets.
+/// The platform's list of targets, which lags behind the true state.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TargetList {
     /// The targets.
@@ -88,7 +88,7 @@
 pub struct TargetEntry {
     /// Address, as `IP:PORT`.
     pub address: std::net::SocketAddr,
-    /// Class.
+    /// Class, which sets price, start time and reclaimability.
     pub class: ClassName,
     /// Data centre.
     pub dc: Dc,
@@ -98,7 +98,7 @@
     pub service: ServiceName,
     /// State as the platform sees it.
     pub state: TargetState,
-    /// Name.
+    /// Name of the target.
     pub target: TargetName,
 }
 
@@ -106,40 +106,40 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetState {
-    /// Takes no new work and ends soon.
+    /// The target takes no new work and ends soon.
     Leaving,
-    /// Serves.
+    /// The target serves requests.
     Live,
-    /// Will be reclaimed within seconds.
+    /// The platform reclaims the target within seconds.
     Reclaimed,
-    /// Starts and serves soon.
+    /// The target is starting and doesn't serve yet.
     Starting,
 }
 
-/// An order for targets of a data centre.
+/// An order to start or stop targets in a data centre.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TargetOrder {
-    /// What to do.
+    /// Whether to start or to stop targets.
     pub action: OrderAction,
-    /// Class of targets.
+    /// Class of the targets.
     pub class: ClassName,
     /// Data centre.
     pub dc: Dc,
-    /// Name of the process that gives the order, for the platform's audit.
+    /// Name of the host that sends the order, for the platform's audit log.
     pub host: HostName,
-    /// Identity: the same order sent twice takes effect once.
+    /// Idempotency key: the same order sent twice takes effect once.
     pub order: String,
-    /// Fencing token of the lease under which the order is given.
+    /// Fencing token of the lease under which the order is sent.
     pub term: Term,
 }
 
-/// What a target order does.
+/// Action of a target order.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderAction {
-    /// Starts this many targets.
+    /// Start this many targets.
     Start(u32),
-    /// Stops these targets.
+    /// Stop these targets.
     Stop(Vec<TargetName>),
 }
 
@@ -147,20 +147,20 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderAnswer {
-    /// Done; the names of the targets started or stopped.
+    /// The order was carried out. Holds the names of the targets that were started or stopped.
     Done(Vec<TargetName>),
-    /// Refused, because a higher term has been seen.
+    /// The order was refused, because the platform has seen this higher term.
     Fenced(Term),
-    /// Refused, because no such targets are to be had now.
+    /// The order was refused, because no targets of the class are available now.
     NoneAvailable,
 }
 
-/// Usage of a window, sent until acknowledged.
+/// Usage of one window. The report is repeated until it is acknowledged.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageReport {
-    /// Name of the process that reports, for the platform's audit.
+    /// Name of the host that reports, for the platform's audit log.
     pub host: HostName,
-    /// Figures by workspace.
+    /// Usage by workspace and service.
     pub rows: Vec<UsageRow>,
     /// Fencing token of the lease under which the report is sent.
     pub term: Term,
@@ -168,17 +168,17 @@
     pub window: u64,
 }
 
-/// Usage of a workspace in a window.
+/// Usage of a service by a workspace within a window.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct UsageRow {
     /// Workspace.
     pub workspace: Workspace,
-    /// Service, qualified.
+    /// Qualified name of the service.
     pub service: ServiceName,
     /// Requests answered.
     pub requests: u64,
     /// Tokens of prompts.
     pub prompt_tokens: u64,
-    /// Tokens that the caller got.
+    /// Tokens that were delivered to callers.
     pub output_tokens: u64,
 }
--- a/crates/godwitspool-connection/src/target_client.rs
+++ b/crates/godwitspool-connection/src/target_client.rs
@@ -15,29 +15,29 @@
 use crate::{
     call_error::CallError,
     engine::{CacheEvents, Generate, KvHandle, Load, SwapAnswer, SwapOrder},
-    lane::Lane,
     plain_call::{PlainAnswer, PlainCall},
+    target_connection::TargetConnection,
     token_stream::TokenStream,
 };
 
-/// Idle bound of short calls.
-const CALL_IDLE: Millis = Millis(2_000);
-/// Clean lanes kept for a target.
+/// Idle timeout of calls with a short answer: cancel, export, load, cache events and scoring.
+const CALL_IDLE_TIMEOUT: Millis = Millis(2_000);
+/// Idle connections kept for a target.
 const MAX_POOLED: usize = 64;
-/// Bytes of an error's body that are kept.
+/// Maximum size of an error's body; a longer one is replaced by an empty message.
 const MAX_MESSAGE_BYTES: u64 = 512;
-/// Bytes of a plain service's answer.
+/// Maximum size of an answer that isn't streamed.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
 /// A client of one target. Clones share the pool of connections.
 #[derive(Clone, Debug)]
 pub struct TargetClient {
     address: SocketAddr,
-    pool: Arc<Mutex<Vec<Lane>>>,
+    pool: Arc<Mutex<Vec<TargetConnection>>>,
 }
 
 impl TargetClient {
-    /// Names the target; nothing is opened yet.
+    /// Creates a client; the first call opens a connection.
     ///
     /// ```
     /// use godwitspool_connection::TargetClient;
@@ -57,7 +57,8 @@
         self.address
     }
 
-    /// Drops the pooled connections, after one of them went silent.
+    /// Closes the idle connections. Called after one of them timed out, as the others may be dead
+    /// too.
     pub fn clear_pool(&self) {
         self.pool
             .lock()
@@ -65,36 +66,43 @@
             .clear();
     }
 
-    // -----------------------------------------------------------------------
-    // Engines
-
-    /// Starts a generation. `idle` bounds the wait for the first byte.
+    /// Starts a generation. `idle_timeout` bounds the wait for each byte, from the first on.
     ///
     /// # Errors
-    /// Any [`CallError`] but [`CallError::Truncated`].
-    pub fn generate(&self, request: &Generate, idle: Millis) -> Result<TokenStream, CallError> {
-        let lane = self.take_lane();
-        lane.set_idle_timeout(idle);
+    /// Any [`CallError`] except [`CallError::Truncated`].
+    pub fn generate(
+        &self,
+        request: &Generate,
+        idle_timeout: Millis,
+    ) -> Result<TokenStream, CallError> {
+        let connection = self.take_connection();
+        connection.set_idle_timeout(idle_timeout);
         let body = encode(request)?;
-        let response = self.send(&lane, Method::POST, "/v1/chat/completions", &body, idle)?;
+        let response = self.send(
+            &connection,
+            Method::POST,
+            "/v1/chat/completions",
+            &body,
+            idle_timeout,
+        )?;
         Ok(TokenStream::new(
             self.clone(),
-            lane,
+            connection,
             response.into_body(),
-            idle,
+            idle_timeout,
         ))
     }
 
     /// Cancels a generation on the engine.
     ///
     /// # Errors
-    /// Any [`CallError`]; an unknown request has status 404.
+    /// Any [`CallError`]. An unknown request gives status 404.
     pub fn cancel(&self, request: &str) -> Result<(), CallError> {
         let path = format!("/v1/requests/{request}");
         self.exchange(Method::DELETE, &path, &[]).map(drop)
     }
 
-    /// Stops a generation and names its KV cache for another engine.
+    /// Stops a generation and returns a handle of its KV cache, for another engine.
     ///
     /// # Errors
     /// Any [`CallError`].
@@ -102,7 +110,7 @@
         self.ask(Method::POST, &format!("/kv/{request}/export"), &())
     }
 
-    /// Reads the load report.
+    /// Reads the engine's load report.
     ///
     /// # Errors
     /// Any [`CallError`].
@@ -110,7 +118,7 @@
         decode(&self.exchange(Method::GET, "/load", &[])?)
     }
 
-    /// Reads prefix cache events from a sequence number on.
+    /// Reads prefix cache events, starting at sequence number `from`.
     ///
     /// # Errors
     /// Any [`CallError`].
@@ -118,82 +126,83 @@
         decode(&self.exchange(Method::GET, &format!("/cache?from={from}"), &[])?)
     }
 
-    /// Orders a weight swap; answered once the version is loaded.
+    /// Requests a weight swap and waits until the version is loaded, at most for `idle_timeout`.
     ///
     /// # Errors
-    /// Any [`CallError`]; an old term has status 409.
-    pub fn swap(&self, order: &SwapOrder, patience: Millis) -> Result<SwapAnswer, CallError> {
-        let lane = Lane::new();
-        lane.set_idle_timeout(patience);
+    /// Any [`CallError`]. An old term gives status 409.
+    pub fn swap(&self, order: &SwapOrder, idle_timeout: Millis) -> Result<SwapAnswer, CallError> {
+        let connection = TargetConnection::new();
+        connection.set_idle_timeout(idle_timeout);
         let body = encode(order)?;
-        let response = self.send(&lane, Method::POST, "/admin/weights", &body, patience)?;
-        decode(&read_body(response, &lane, patience)?)
+        let response = self.send(
+            &connection,
+            Method::POST,
+            "/admin/weights",
+            &body,
+            idle_timeout,
+        )?;
+        decode(&read_body(response, &connection, idle_timeout)?)
     }
 
-    // -----------------------------------------------------------------------
-    // Plain services
-
-    /// Passes a call through to a plain service.
+    /// Forwards a call to a plain service.
     ///
-    /// A call that isn't idempotent gets a connection of its own, so that a pooled connection that
-    /// died idle never leaves its fate unknown.
+    /// A call that isn't idempotent uses a new connection: on a pooled one that died while idle, it
+    /// would be unknown whether the call ran.
     ///
     /// # Errors
-    /// Any [`CallError`] but [`CallError::Status`]: a status is part of the answer.
-    pub fn call(&self, call: &PlainCall, idle: Millis) -> Result<PlainAnswer, CallError> {
-        let lane = if call.idempotent {
-            self.take_lane()
+    /// Any [`CallError`] except [`CallError::Status`]: an error status is returned as an answer.
+    pub fn call(&self, call: &PlainCall, idle_timeout: Millis) -> Result<PlainAnswer, CallError> {
+        let connection = if call.idempotent {
+            self.take_connection()
         } else {
-            Lane::new()
+            TargetConnection::new()
         };
-        lane.set_idle_timeout(idle);
+        connection.set_idle_timeout(idle_timeout);
         let request = call.to_request(self.address)?;
-        let response = run(&lane, request, idle)?;
+        let response = run(&connection, request, idle_timeout)?;
         let answer = PlainAnswer::read(response, MAX_ANSWER_BYTES)
-            .map_err(|error| broken(&lane, &error, idle))?;
-        self.give_lane(lane);
+            .map_err(|error| call_error(&connection, &error, idle_timeout))?;
+        self.return_connection(connection);
         Ok(answer)
     }
 
-    // -----------------------------------------------------------------------
-
-    /// Posts a value and reads the answer; for services that score samples.
+    /// Posts a JSON value and reads the JSON answer; for services that score samples.
     ///
     /// # Errors
     /// Any [`CallError`].
     pub fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
-        question: &Q,
+        body: &Q,
     ) -> Result<A, CallError> {
-        self.ask(Method::POST, path, question)
+        self.ask(Method::POST, path, body)
     }
 
     fn ask<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
-        question: &Q,
+        body: &Q,
     ) -> Result<A, CallError> {
-        decode(&self.exchange(method, path, &encode(question)?)?)
+        decode(&self.exchange(method, path, &encode(body)?)?)
     }
 
     fn exchange(&self, method: Method, path: &str, body: &[u8]) -> Result<Vec<u8>, CallError> {
-        let lane = self.take_lane();
-        lane.set_idle_timeout(CALL_IDLE);
-        let response = self.send(&lane, method, path, body, CALL_IDLE)?;
-        let bytes = read_body(response, &lane, CALL_IDLE)?;
-        self.give_lane(lane);
+        let connection = self.take_connection();
+        connection.set_idle_timeout(CALL_IDLE_TIMEOUT);
+        let response = self.send(&connection, method, path, body, CALL_IDLE_TIMEOUT)?;
+        let bytes = read_body(response, &connection, CALL_IDLE_TIMEOUT)?;
+        self.return_connection(connection);
         Ok(bytes)
     }
 
     fn send(
         &self,
-        lane: &Lane,
+        connection: &TargetConnection,
         method: Method,
         path: &str,
         body: &[u8],
-        idle: Millis,
+        idle_timeout: Millis,
     ) -> Result<Response<Body>, CallError> {
         let request = Request::builder()
             .method(method)
@@ -203,7 +212,7 @@
             .map_err(|error| CallError::NotSent {
                 cause: error.to_string(),
             })?;
-        let response = run(lane, request, idle)?;
+        let response = run(connection, request, idle_timeout)?;
         if response.status().is_success() {
             Ok(response)
         } else {
@@ -211,47 +220,56 @@
         }
     }
 
-    pub(crate) fn take_lane(&self) -> Lane {
+    pub(crate) fn take_connection(&self) -> TargetConnection {
         let pooled = self
             .pool
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .pop();
-        pooled.unwrap_or_else(Lane::new)
+        pooled.unwrap_or_else(TargetConnection::new)
     }
 
-    pub(crate) fn give_lane(&self, lane: Lane) {
+    pub(crate) fn return_connection(&self, connection: TargetConnection) {
         let mut pool = self.pool.lock().unwrap_or_else(PoisonError::into_inner);
         if pool.len() < MAX_POOLED {
-            pool.push(lane);
+            pool.push(connection);
         }
     }
 }
 
-/// Sends a request; one without a body goes without a `Content-Length`.
-fn run(lane: &Lane, request: Request<Vec<u8>>, idle: Millis) -> Result<Response<Body>, CallError> {
-    lane.begin();
-    lane.agent
+/// Sends a request; without a body, it has no `Content-Length`.
+fn run(
+    connection: &TargetConnection,
+    request: Request<Vec<u8>>,
+    idle_timeout: Millis,
+) -> Result<Response<Body>, CallError> {
+    connection.begin_request();
+    connection
+        .agent
         .run(request)
-        .map_err(|error| broken(lane, &error, idle))
+        .map_err(|error| call_error(connection, &error, idle_timeout))
 }
 
-fn broken(lane: &Lane, error: &Error, idle: Millis) -> CallError {
+fn call_error(connection: &TargetConnection, error: &Error, idle_timeout: Millis) -> CallError {
     let cause = error.to_string();
     match error {
-        _ if !lane.sent() => CallError::NotSent { cause },
+        _ if !connection.may_have_sent() => CallError::NotSent { cause },
         Error::Timeout(Timeout::Connect) => CallError::NotSent { cause },
-        Error::Timeout(_) => CallError::Silent { idle },
+        Error::Timeout(_) => CallError::Silent { idle: idle_timeout },
         _ => CallError::Broken { cause },
     }
 }
 
-fn read_body(response: Response<Body>, lane: &Lane, idle: Millis) -> Result<Vec<u8>, CallError> {
+fn read_body(
+    response: Response<Body>,
+    connection: &TargetConnection,
+    idle_timeout: Millis,
+) -> Result<Vec<u8>, CallError> {
     let mut body = response.into_body();
     body.with_config()
         .limit(MAX_ANSWER_BYTES)
         .read_to_vec()
-        .map_err(|error| broken(lane, &error, idle))
+        .map_err(|error| call_error(connection, &error, idle_timeout))
 }
 
 fn status_error(response: Response<Body>) -> CallError {
--- a/crates/godwitspool-connection/src/lane.rs
+++ b/crates/godwitspool-connection/src/target_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a target with an idle bound that can change while a stream is read.
+//! A connection to a target whose idle timeout can change while a stream is read.
 
 use std::{
     sync::{
@@ -18,32 +18,32 @@
     },
 };
 
-/// Largest head of an answer that fits, and what a read takes at most.
+/// Maximum size of an answer's header block, and of one read.
 const BUFFER_BYTES: usize = 16 << 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_IDLE_AGE: Duration = Duration::from_secs(20);
 
 /// One connection to a target, used by one request at a time.
 ///
-/// The idle bound is applied to each read, so a stream may last as long as it flows. A lane whose
-/// request didn't end cleanly is dropped, never used again.
+/// The idle timeout applies to each read, so a stream may last as long as data arrives. A
+/// connection whose request didn't end cleanly is closed and not reused.
 #[derive(Debug)]
-pub(crate) struct Lane {
+pub(crate) struct TargetConnection {
     pub(crate) agent: Agent,
-    state: Arc<LaneState>,
+    state: Arc<ConnectionState>,
 }
 
-/// What the transport shares with the lane's user.
+/// State that the transport shares with the connection's user.
 #[derive(Debug, Default)]
-struct LaneState {
-    idle_ms: AtomicU64,
+struct ConnectionState {
+    idle_timeout_ms: AtomicU64,
     sent: AtomicBool,
 }
 
-impl Lane {
-    /// Opens no connection yet; the first request does.
+impl TargetConnection {
+    /// Creates a connection without opening it; the first request does.
     pub(crate) fn new() -> Self {
-        let state = Arc::new(LaneState::default());
+        let state = Arc::new(ConnectionState::default());
         let config = Config::builder()
             .http_status_as_error(false)
             .input_buffer_size(BUFFER_BYTES)
@@ -55,36 +55,38 @@
             .proxy(None)
             .timeout_connect(Some(CONNECT_TIMEOUT))
             .build();
-        let connector = TcpConnector::default().chain(LaneConnector {
+        let connector = TcpConnector::default().chain(TargetConnector {
             state: Arc::clone(&state),
         });
         let agent = Agent::with_parts(config, connector, DefaultResolver::default());
         Self { agent, state }
     }
 
-    /// Bounds the time without a byte, from the next read on.
-    pub(crate) fn set_idle_timeout(&self, idle: Millis) {
-        self.state.idle_ms.store(idle.0, Ordering::Relaxed);
+    /// Sets the longest wait for a byte, from the next read on.
+    pub(crate) fn set_idle_timeout(&self, idle_timeout: Millis) {
+        self.state
+            .idle_timeout_ms
+            .store(idle_timeout.0, Ordering::Relaxed);
     }
 
-    /// Starts a request: nothing of it has been sent.
-    pub(crate) fn begin(&self) {
+    /// Records that a new request starts, of which nothing has been sent yet.
+    pub(crate) fn begin_request(&self) {
         self.state.sent.store(false, Ordering::Release);
     }
 
-    /// Tells whether a byte of the current request may have left.
-    pub(crate) fn sent(&self) -> bool {
+    /// Returns whether a part of the current request may have been sent.
+    pub(crate) fn may_have_sent(&self) -> bool {
         self.state.sent.load(Ordering::Acquire)
     }
 }
 
 #[derive(Debug)]
-struct LaneConnector {
-    state: Arc<LaneState>,
+struct TargetConnector {
+    state: Arc<ConnectionState>,
 }
 
-impl<In: Transport> Connector<In> for LaneConnector {
-    type Out = LaneTransport<In>;
+impl<In: Transport> Connector<In> for TargetConnector {
+    type Out = TargetTransport<In>;
 
     fn connect(
         &self,
@@ -92,17 +94,17 @@
         chained: Option<In>,
     ) -> Result<Option<Self::Out>, Error> {
         let state = Arc::clone(&self.state);
-        Ok(chained.map(|inner| LaneTransport { inner, state }))
+        Ok(chained.map(|inner| TargetTransport { inner, state }))
     }
 }
 
 #[derive(Debug)]
-struct LaneTransport<T> {
+struct TargetTransport<T> {
     inner: T,
-    state: Arc<LaneState>,
+    state: Arc<ConnectionState>,
 }
 
-impl<T: Transport> Transport for LaneTransport<T> {
+impl<T: Transport> Transport for TargetTransport<T> {
     fn buffers(&mut self) -> &mut dyn Buffers {
         self.inner.buffers()
     }
@@ -113,12 +115,14 @@
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
-        let idle_ms = self.state.idle_ms.load(Ordering::Relaxed);
-        let mut bounded = timeout;
-        if idle_ms > 0 {
-            bounded.after = bounded.after.min(Duration::from_millis(idle_ms).into());
+        let idle_timeout_ms = self.state.idle_timeout_ms.load(Ordering::Relaxed);
+        let mut limited = timeout;
+        if idle_timeout_ms > 0 {
+            limited.after = limited
+                .after
+                .min(Duration::from_millis(idle_timeout_ms).into());
         }
-        self.inner.await_input(bounded)
+        self.inner.await_input(limited)
     }
 
     fn is_open(&mut self) -> bool {
--- a/crates/godwitspool-connection/src/token_stream.rs
+++ b/crates/godwitspool-connection/src/token_stream.rs
@@ -1,4 +1,4 @@
-//! A generation stream, read event by event.
+//! Reads a generation stream event by event.
 
 use std::{
     fmt,
@@ -8,45 +8,56 @@
 use godwitspool_types::Millis;
 use ureq::{Body, BodyReader, Error};
 
-use crate::{call_error::CallError, engine::Chunk, lane::Lane, target_client::TargetClient};
+use crate::{
+    call_error::CallError, engine::Chunk, target_client::TargetClient,
+    target_connection::TargetConnection,
+};
 
 const DATA_PREFIX: &str = "data:";
 const TERMINATOR: &str = "[DONE]";
-/// Bytes of the longest event line.
+/// Maximum length of an event line.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// A generation stream of one engine.
+///
+/// After the terminator, its connection returns to the client's pool; otherwise it is closed.
 pub struct TokenStream {
     client: TargetClient,
-    idle: Millis,
-    lane: Option<Lane>,
+    idle_timeout: Millis,
+    connection: Option<TargetConnection>,
     reader: Option<BufReader<BodyReader<'static>>>,
 }
 
 impl TokenStream {
-    pub(crate) fn new(client: TargetClient, lane: Lane, body: Body, idle: Millis) -> Self {
+    pub(crate) fn new(
+        client: TargetClient,
+        connection: TargetConnection,
+        body: Body,
+        idle_timeout: Millis,
+    ) -> Self {
         let reader = BufReader::new(body.into_reader());
         Self {
             client,
-            idle,
-            lane: Some(lane),
+            idle_timeout,
+            connection: Some(connection),
             reader: Some(reader),
         }
     }
 
-    /// Bounds the wait for the next byte, from the next read on.
-    pub fn set_idle_timeout(&mut self, idle: Millis) {
-        self.idle = idle;
-        if let Some(lane) = &self.lane {
-            lane.set_idle_timeout(idle);
+    /// Sets the longest wait for a byte, from the next read on.
+    pub fn set_idle_timeout(&mut self, idle_timeout: Millis) {
+        self.idle_timeout = idle_timeout;
+        if let Some(connection) = &self.connection {
+            connection.set_idle_timeout(idle_timeout);
         }
     }
 
     /// Reads the next chunk; `None` after the terminator.
     ///
     /// # Errors
-    /// [`CallError::Silent`] past the idle bound, [`CallError::Truncated`] for an end without
-    /// terminator, [`CallError::Broken`] or [`CallError::Protocol`] else. The connection is closed.
+    /// [`CallError::Silent`] after the idle timeout, [`CallError::Truncated`] when the stream ends
+    /// before its terminator, and otherwise [`CallError::Broken`] or [`CallError::Protocol`]. Every
+    /// error closes the connection.
     pub fn next_chunk(&mut self) -> Result<Option<Chunk>, CallError> {
         let result = self.read_event();
         if result.is_err() {
@@ -55,10 +66,10 @@
         result
     }
 
-    /// Closes the connection, which an engine takes as a cancellation.
+    /// Closes the connection. The engine treats this as a cancellation.
     pub fn close(&mut self) {
         self.reader = None;
-        self.lane = None;
+        self.connection = None;
     }
 
     fn read_event(&mut self) -> Result<Option<Chunk>, CallError> {
@@ -82,7 +93,7 @@
     }
 
     fn read_line(&mut self) -> Result<Option<String>, CallError> {
-        let idle = self.idle;
+        let idle_timeout = self.idle_timeout;
         let Some(reader) = &mut self.reader else {
             return Ok(None);
         };
@@ -91,17 +102,17 @@
             let available = match reader.fill_buf() {
                 Ok(bytes) => bytes,
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
-                Err(error) => return Err(read_error(error, idle)),
+                Err(error) => return Err(read_error(error, idle_timeout)),
             };
             if available.is_empty() {
                 return Ok(None);
             }
             let end = available.iter().position(|&byte| byte == b'\n');
-            let used = end.map_or(available.len(), |index| index + 1);
-            line.extend_from_slice(&available[..used]);
-            reader.consume(used);
+            let length = end.map_or(available.len(), |index| index + 1);
+            line.extend_from_slice(&available[..length]);
+            reader.consume(length);
             if line.len() > MAX_LINE_BYTES {
-                let cause = format!("event is longer than {MAX_LINE_BYTES} bytes");
+                let cause = format!("event line exceeds the limit of {MAX_LINE_BYTES} bytes");
                 return Err(CallError::Protocol { cause });
             }
             if end.is_some() {
@@ -114,22 +125,22 @@
         }
     }
 
-    /// Reads up to the end of the body, so that the connection can serve again.
+    /// Reads up to the end of the body and returns the connection to the pool for reuse.
     fn finish(&mut self) {
         while let Ok(Some(_)) = self.read_line() {}
         let drained = self
             .reader
             .take()
             .is_some_and(|mut reader| reader.fill_buf().is_ok_and(<[u8]>::is_empty));
-        if let Some(lane) = self.lane.take().filter(|_| drained) {
-            self.client.give_lane(lane);
+        if let Some(connection) = self.connection.take().filter(|_| drained) {
+            self.client.return_connection(connection);
         }
     }
 }
 
-fn read_error(error: std::io::Error, idle: Millis) -> CallError {
+fn read_error(error: std::io::Error, idle_timeout: Millis) -> CallError {
     match Error::from(error) {
-        Error::Timeout(_) => CallError::Silent { idle },
+        Error::Timeout(_) => CallError::Silent { idle: idle_timeout },
         other => CallError::Broken {
             cause: other.to_string(),
         },
--- a/crates/godwitspool-connection/tests/checked_send.rs
+++ b/crates/godwitspool-connection/tests/checked_send.rs
@@ -1,4 +1,4 @@
-//! An order whose right to be sent ends on the way never arrives whole.
+//! The platform never receives a complete order when the check before its last byte fails.
 
 use std::{cell::Cell, io::Read, net::TcpListener, thread};
 
@@ -14,10 +14,10 @@
     let platform = Platform::new(format!("http://{}", listener.local_addr().unwrap()));
     let server = thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut got = Vec::new();
-        // An abrupt end is as good as a close.
-        drop(stream.read_to_end(&mut got));
-        String::from_utf8_lossy(&got).into_owned()
+        let mut received = Vec::new();
+        // A reset connection counts as a closed one.
+        drop(stream.read_to_end(&mut received));
+        String::from_utf8_lossy(&received).into_owned()
     });
     let order = TargetOrder {
         action: OrderAction::Start(1),
@@ -27,16 +27,16 @@
         order: "o".to_owned(),
         term: Term(3),
     };
-    let asked = Cell::new(0);
+    let checks = Cell::new(0);
     let may_send = || {
-        asked.set(asked.get() + 1);
+        checks.set(checks.get() + 1);
         false
     };
     let error = platform.order(&order, &may_send).unwrap_err();
     assert!(matches!(error, PlatformError::Withheld { .. }), "{error}");
     assert_eq!(error.ran(), Ran::NotRun);
-    assert_eq!(asked.get(), 1);
-    let whole = serde_json::to_string(&order).unwrap();
-    let got = server.join().unwrap();
-    assert!(!got.contains(&whole), "{got}");
+    assert_eq!(checks.get(), 1);
+    let complete = serde_json::to_string(&order).unwrap();
+    let received = server.join().unwrap();
+    assert!(!received.contains(&complete), "{received}");
 }
--- a/crates/godwitspool-connection/tests/peer.rs
+++ b/crates/godwitspool-connection/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Links and servers over real sockets, and what damaged bytes do to them.
+//! Links and servers over real sockets, with valid and with damaged frames.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -18,12 +18,15 @@
 use godwitspool_types::{Millis, Ran};
 use rstest::rstest;
 
-const GENEROUS: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < GENEROUS, "waited in vain for: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting for: {what}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
@@ -34,7 +37,7 @@
     (listener, address)
 }
 
-fn doubling(bounds: ServeBounds) -> Server {
+fn doubling_server(bounds: ServeBounds) -> Server {
     let (listener, _) = listen();
     Server::start(listener, bounds, |n: u64| n * 2).unwrap()
 }
@@ -48,7 +51,7 @@
 
 #[test]
 fn many_calls_share_a_connection_and_get_their_own_answers() {
-    let server = doubling(ServeBounds::default());
+    let server = doubling_server(ServeBounds::default());
     let link = Arc::new(Link::<u64, u64>::new(
         server.address(),
         LinkBounds::default(),
@@ -151,7 +154,7 @@
     let _server = Server::start(listener, ServeBounds::default(), |n: u64| n + 1).unwrap();
     let start = Instant::now();
     while link.call(&2).is_err() {
-        assert!(start.elapsed() < GENEROUS);
+        assert!(start.elapsed() < WAIT_TIMEOUT);
     }
 }
 
@@ -165,7 +168,7 @@
 
 #[test]
 fn a_request_over_the_bound_is_not_sent() {
-    let server = doubling(ServeBounds::default());
+    let server = doubling_server(ServeBounds::default());
     let bounds = LinkBounds::default().with_max_frame_bytes(4);
     let link = Link::<Vec<u8>, u64>::new(server.address(), bounds);
     let error = link.call(&vec![0; 64]).unwrap_err();
@@ -181,12 +184,14 @@
 #[case::undecodable(frame(&[255; 12]))]
 #[case::bytes_left_over(frame(&[1, 2, 3]))]
 #[case::empty_body(frame(&[]))]
-fn damaged_frames_close_their_connection_and_count(#[case] bytes: Vec<u8>) {
-    let server = doubling(ServeBounds::default());
+fn damaged_frames_are_counted_and_close_their_connection(#[case] bytes: Vec<u8>) {
+    let server = doubling_server(ServeBounds::default());
     let mut stream = TcpStream::connect(server.address()).unwrap();
     stream.write_all(&bytes).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
-    wait_until("the damage is counted", || server.counts().damaged == 1);
+    wait_until("the damaged frame is counted", || {
+        server.counts().damaged == 1
+    });
     wait_until("the connection is closed", || server.counts().open == 0);
     assert_eq!(server.counts().answered, 0);
     let link = Link::<u64, u64>::new(server.address(), LinkBounds::default());
@@ -194,10 +199,10 @@
 }
 
 #[test]
-fn a_frame_that_claims_too_much_is_refused_before_its_body() {
-    let server = doubling(ServeBounds::default().with_idle_timeout(Millis(600_000)));
+fn a_frame_with_a_too_large_length_is_refused_before_its_body() {
+    let server = doubling_server(ServeBounds::default().with_idle_timeout(Millis(600_000)));
     let mut stream = TcpStream::connect(server.address()).unwrap();
-    stream.set_read_timeout(Some(GENEROUS)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let header = [b"GWS1".as_slice(), &u32::MAX.to_le_bytes()].concat();
     stream.write_all(&header).unwrap();
     assert_eq!(stream.read(&mut [0]).unwrap(), 0);
@@ -205,8 +210,8 @@
 }
 
 #[test]
-fn a_clean_end_is_no_damage() {
-    let server = doubling(ServeBounds::default());
+fn a_clean_close_is_not_counted_as_damage() {
+    let server = doubling_server(ServeBounds::default());
     let link = Link::<u64, u64>::new(server.address(), LinkBounds::default());
     assert_eq!(link.call(&4).unwrap(), 8);
     drop(link);
@@ -216,7 +221,7 @@
 
 #[test]
 fn connections_over_the_bound_are_refused_and_others_served() {
-    let server = doubling(ServeBounds::default().with_max_connections(1));
+    let server = doubling_server(ServeBounds::default().with_max_connections(1));
     let link = Link::<u64, u64>::new(server.address(), LinkBounds::default());
     assert_eq!(link.call(&1).unwrap(), 2);
     let second = Link::<u64, u64>::new(server.address(), LinkBounds::default());
@@ -227,13 +232,13 @@
 
 #[test]
 fn idle_connections_are_closed() {
-    let server = doubling(ServeBounds::default().with_idle_timeout(Millis(20)));
+    let server = doubling_server(ServeBounds::default().with_idle_timeout(Millis(20)));
     let _idle = TcpStream::connect(server.address()).unwrap();
     wait_until("the connection was opened and closed", || {
         server.counts().open == 0
     });
     let mut idle = TcpStream::connect(server.address()).unwrap();
-    idle.set_read_timeout(Some(GENEROUS)).unwrap();
+    idle.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
 }
 
--- a/crates/godwitspool-connection/tests/platform.rs
+++ b/crates/godwitspool-connection/tests/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform's client makes of refusals, outages, hostile answers and lost ones.
+//! How the platform's client classifies refusals, outages, malformed answers and lost ones.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,8 +15,9 @@
 use godwitspool_types::{Millis, Offset, Ran, Term};
 use rstest::rstest;
 
-/// Starts a server that answers each request with these bytes and closes.
-fn answering(answer: &str) -> Platform {
+/// Starts a server that answers each request with these bytes and closes the connection. Returns a
+/// client of it.
+fn platform_answering(answer: &str) -> Platform {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let base = format!("http://{}", listener.local_addr().unwrap());
     let answer = answer.to_owned();
@@ -47,7 +48,7 @@
     reader.read_exact(&mut vec![0; bytes]).unwrap();
 }
 
-fn whole(status: &str, body: &str) -> String {
+fn http_answer(status: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}")
 }
@@ -64,11 +65,11 @@
 }
 
 #[rstest]
-#[case::outage(&whole("503 Service Unavailable", "out"), "outage", Ran::NotRun)]
-#[case::rate(&whole("429 Too Many Requests", "rate"), "refused", Ran::NotRun)]
-#[case::bad_request(&whole("400 Bad Request", "no"), "refused", Ran::NotRun)]
-#[case::failed(&whole("500 Internal Server Error", "oh"), "unknown", Ran::Unknown)]
-#[case::gateway(&whole("502 Bad Gateway", "oh"), "unknown", Ran::Unknown)]
+#[case::outage(&http_answer("503 Service Unavailable", "out"), "outage", Ran::NotRun)]
+#[case::rate(&http_answer("429 Too Many Requests", "rate"), "refused", Ran::NotRun)]
+#[case::bad_request(&http_answer("400 Bad Request", "no"), "refused", Ran::NotRun)]
+#[case::failed(&http_answer("500 Internal Server Error", "oh"), "unknown", Ran::Unknown)]
+#[case::gateway(&http_answer("502 Bad Gateway", "oh"), "unknown", Ran::Unknown)]
 #[case::closed("", "unknown", Ran::Unknown)]
 #[case::no_http("\u{1}\u{2}\u{3}\r\n\r\n", "unknown", Ran::Unknown)]
 #[case::cut_head("HTTP/1.1 200 OK\r\nContent-", "unknown", Ran::Unknown)]
@@ -77,15 +78,17 @@
     "unknown",
     Ran::Unknown
 )]
-#[case::no_json(&whole("200 OK", "well done"), "unknown", Ran::Unknown)]
-#[case::other_json(&whole("200 OK", "{\"second\": 1}"), "unknown", Ran::Unknown)]
-#[case::redirect(&whole("302 Found", ""), "refused", Ran::NotRun)]
+#[case::no_json(&http_answer("200 OK", "well done"), "unknown", Ran::Unknown)]
+#[case::other_json(&http_answer("200 OK", "{\"second\": 1}"), "unknown", Ran::Unknown)]
+#[case::redirect(&http_answer("302 Found", ""), "refused", Ran::NotRun)]
 fn an_append_that_fails_says_whether_it_may_have_run(
     #[case] answer: &str,
     #[case] kind: &str,
     #[case] ran: Ran,
 ) {
-    let error = answering(answer).append(&["a".to_owned()]).unwrap_err();
+    let error = platform_answering(answer)
+        .append(&["a".to_owned()])
+        .unwrap_err();
     let found = match &error {
         PlatformError::Outage { .. } => "outage",
         PlatformError::Refused { .. } => "refused",
@@ -118,25 +121,25 @@
 }
 
 #[test]
-fn the_rate_is_told_from_other_refusals() {
-    let rate = answering(&whole("429 Too Many Requests", "")).append(&[]);
+fn throttling_is_distinguished_from_other_refusals() {
+    let rate = platform_answering(&http_answer("429 Too Many Requests", "")).append(&[]);
     assert!(rate.unwrap_err().is_throttled());
-    let other = answering(&whole("403 Forbidden", "")).append(&[]);
+    let other = platform_answering(&http_answer("403 Forbidden", "")).append(&[]);
     assert!(!other.unwrap_err().is_throttled());
 }
 
 #[test]
 fn answers_are_read() {
-    let appended = answering(&whole("200 OK", "{\"first\": 7}")).append(&[]);
+    let appended = platform_answering(&http_answer("200 OK", "{\"first\": 7}")).append(&[]);
     assert_eq!(appended.unwrap().first, Offset(7));
-    let fenced = answering(&whole("409 Conflict", "{\"fenced\": 9}"));
+    let fenced = platform_answering(&http_answer("409 Conflict", "{\"fenced\": 9}"));
     let answer = fenced.order(&order(), &|| true).unwrap();
     assert_eq!(answer, OrderAnswer::Fenced(Term(9)));
 }
 
 #[test]
-fn an_order_whose_right_has_ended_is_withheld() {
-    let platform = answering(&whole("200 OK", "{\"done\": []}"));
+fn an_order_that_fails_its_check_is_withheld() {
+    let platform = platform_answering(&http_answer("200 OK", "{\"done\": []}"));
     let error = platform.order(&order(), &|| false).unwrap_err();
     assert!(matches!(error, PlatformError::Withheld { .. }), "{error}");
     assert_eq!(error.ran(), Ran::NotRun);
--- a/crates/godwitspool-history/src/check/control.rs
+++ b/crates/godwitspool-history/src/check/control.rs
@@ -54,7 +54,8 @@
     violations
 }
 
-/// No usage window is reported twice with different figures, nor by two processes in charge at once.
+/// No usage window is reported twice with different figures, nor by two processes in charge at
+/// once.
 pub(crate) fn windows(history: &History) -> Vec<Violation> {
     let mut last = None;
     let mut first = BTreeMap::new();
--- a/crates/godwitspool-history/src/index.rs
+++ b/crates/godwitspool-history/src/index.rs
@@ -96,7 +96,8 @@
         self.received.get(&work).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the lines of targets that got what was asked, from one sending to the next of the same.
+    /// Returns the lines of targets that got what was asked, from one sending to the next of the
+    /// same.
     pub(crate) fn received_after(&self, work: Work, sent: Millis) -> Vec<&'a Line> {
         let again = self
             .asked
--- a/crates/godwitspool-history/src/lib.rs
+++ b/crates/godwitspool-history/src/lib.rs
@@ -1,4 +1,5 @@
-//! Records what callers, trainers, targets and the platform observed, and checks the promises over it.
+//! Records what callers, trainers, targets and the platform observed, and checks the promises over
+//! it.
 //!
 //! Nothing here asks the system's own processes: every [`Event`] is seen at one of the two ends.
 //!
