--- a/crates/godwitspool-connection/src/peer/link.rs
+++ b/crates/godwitspool-connection/src/peer/link.rs
@@ -189,17 +189,17 @@
         let address = self.address;
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let message = Tagged { id, body: request };
-        let frame = frame::encode(&message, self.bounds.max_frame_bytes)
+        let encoded = frame::encode(&message, self.bounds.max_frame_bytes)
             .context(RequestSnafu { address })?;
         let connection = self.connection()?;
         let (sender, receiver) = mpsc::channel();
-        if !connection.calls.insert(id, sender) || connection.send(&frame).is_err() {
+        if !connection.pending.add(id, sender) || connection.send(&encoded).is_err() {
             self.discard(&connection);
             connection.close();
             return ClosedSnafu { address }.fail();
         }
         let answer = receiver.recv_timeout(timeout.duration());
-        connection.calls.cancel(id);
+        connection.pending.cancel(id);
         match answer {
             Ok(body) => decode_answer(&body).context(AnswerSnafu { address }),
             Err(RecvTimeoutError::Timeout) => {
@@ -215,7 +215,7 @@
 
     fn connection(&self) -> Result<Arc<Connection>, LinkError> {
         let mut current = lock(&self.current);
-        if let Some(connection) = current.as_ref().filter(|c| c.calls.is_open()) {
+        if let Some(connection) = current.as_ref().filter(|c| c.pending.is_open()) {
             return Ok(Arc::clone(connection));
         }
         let connection =
@@ -244,7 +244,7 @@
 /// One connection. It closes when the link and all calls have dropped it.
 struct Connection {
     stream: TcpStream,
-    calls: Arc<PendingCalls>,
+    pending: Arc<PendingCalls>,
     writer: Mutex<TcpStream>,
 }
 
@@ -255,15 +255,15 @@
         stream.set_write_timeout(Some(bounds.answer_timeout.duration()))?;
         let writer = Mutex::new(stream.try_clone()?);
         let reader = stream.try_clone()?;
-        let calls = Arc::new(PendingCalls::default());
-        let pending = Arc::clone(&calls);
+        let pending = Arc::new(PendingCalls::default());
+        let awaited = Arc::clone(&pending);
         let dropped = Arc::clone(dropped);
         thread::Builder::new()
             .name("peer-read".to_owned())
-            .spawn(move || read_answers(&reader, &pending, &dropped, bounds.max_frame_bytes))?;
+            .spawn(move || read_answers(&reader, &awaited, &dropped, bounds.max_frame_bytes))?;
         Ok(Self {
             stream,
-            calls,
+            pending,
             writer,
         })
     }
@@ -286,7 +286,7 @@
 
 fn read_answers(
     stream: &TcpStream,
-    calls: &PendingCalls,
+    pending: &PendingCalls,
     dropped: &AtomicU64,
     max_frame_bytes: usize,
 ) {
@@ -303,14 +303,14 @@
         };
         let sender = postcard::take_from_bytes::<u64>(&body)
             .ok()
-            .and_then(|(id, _)| calls.remove(id));
+            .and_then(|(id, _)| pending.take(id));
         let delivered = sender.is_some_and(|sender| sender.send(body).is_ok());
         if !delivered {
             dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
     drop(stream.shutdown(Shutdown::Both));
-    calls.close();
+    pending.close();
 }
 
 /// Senders for the answers to pending calls, by id; `None` once the connection has closed.
@@ -324,7 +324,7 @@
 
 impl PendingCalls {
     /// Adds a call; returns false when the connection has closed.
-    fn insert(&self, id: u64, sender: Sender<Vec<u8>>) -> bool {
+    fn add(&self, id: u64, sender: Sender<Vec<u8>>) -> bool {
         let mut calls = lock(&self.0);
         let Some(calls) = calls.as_mut() else {
             return false;
@@ -334,10 +334,10 @@
     }
 
     fn cancel(&self, id: u64) {
-        self.remove(id);
+        self.take(id);
     }
 
-    fn remove(&self, id: u64) -> Option<Sender<Vec<u8>>> {
+    fn take(&self, id: u64) -> Option<Sender<Vec<u8>>> {
         lock(&self.0).as_mut()?.remove(&id)
     }
 
--- a/crates/godwitspool-connection/src/target_client.rs
+++ b/crates/godwitspool-connection/src/target_client.rs
@@ -173,18 +173,18 @@
     pub fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
-        body: &Q,
+        payload: &Q,
     ) -> Result<A, CallError> {
-        self.ask(Method::POST, path, body)
+        self.ask(Method::POST, path, payload)
     }
 
     fn ask<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
-        body: &Q,
+        payload: &Q,
     ) -> Result<A, CallError> {
-        decode(&self.exchange(method, path, &encode(body)?)?)
+        decode(&self.exchange(method, path, &encode(payload)?)?)
     }
 
     fn exchange(&self, method: Method, path: &str, body: &[u8]) -> Result<Vec<u8>, CallError> {
