--- a/crates/godwitspool-history/src/check/keys.rs
+++ b/crates/godwitspool-history/src/check/keys.rs
@@ -60,7 +60,7 @@
 
 /// No target receives a caller's key.
 pub(crate) fn hidden(history: &History) -> Vec<Violation> {
-    let received = history.lines().iter().filter_map(|line| match &line.event {
+    let leaked = history.lines().iter().filter_map(|line| match &line.event {
         Event::Received {
             key: Some(place),
             target,
@@ -71,7 +71,7 @@
         }
         _ => None,
     });
-    received.collect()
+    leaked.collect()
 }
 
 /// A withdrawn key stops working within a time limit, for new requests and for answers in progress.
--- a/crates/godwitspool-history/src/history.rs
+++ b/crates/godwitspool-history/src/history.rs
@@ -63,8 +63,8 @@
     /// assert_eq!(history.lines()[0].at, Millis(1));
     /// ```
     pub fn push(&mut self, at: Millis, event: Event) {
-        let index = self.lines.partition_point(|line| line.at <= at);
-        self.lines.insert(index, Line { at, event });
+        let position = self.lines.partition_point(|line| line.at <= at);
+        self.lines.insert(position, Line { at, event });
     }
 
     /// Returns the lines in order of time.
--- a/crates/godwitspool-history/tests/callers.rs
+++ b/crates/godwitspool-history/tests/callers.rs
@@ -108,7 +108,7 @@
 #[case::cut(Answer::Cut)]
 #[case::foreign(Answer::Foreign)]
 fn an_answer_is_whole_and_the_callers_own(#[case] answer: Answer) {
-    let answered = Event::Answered {
+    let wrong = Event::Answered {
         answer,
         request: RequestId(1),
     };
@@ -116,7 +116,7 @@
         (1, issued("k", "linen")),
         (2, sent(1)),
         (3, received(1)),
-        (4, answered),
+        (4, wrong),
     ];
     assert_eq!(broken(events), [Promise::WholeAnswer]);
 }
--- a/crates/godwitspool-history/tests/common/mod.rs
+++ b/crates/godwitspool-history/tests/common/mod.rs
@@ -39,10 +39,10 @@
 }
 
 /// Returns the same call with another key.
-pub fn sent_with(request: u128, name: Option<&str>) -> Event {
+pub fn sent_with(request: u128, key_name: Option<&str>) -> Event {
     Event::Sent {
         host: "h".into(),
-        key: name.map(key),
+        key: key_name.map(key),
         open: false,
         repeatable: false,
         request: RequestId(request),
