--- a/crates/godwitspool-cli/src/command.rs
+++ b/crates/godwitspool-cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands and their arguments.
+//! Parses the command line.
 
 use std::{ffi::OsString, net::SocketAddr, path::PathBuf};
 
@@ -34,14 +34,14 @@
 
 Exit status: 0 done, 1 failed, 2 findings in the folder or on the command line.";
 
-/// Where what is in force is read and written.
+/// The platform's log, and optionally a steward from which the log is read instead.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct LogAccess {
     pub platform: String,
     pub steward: Option<SocketAddr>,
 }
 
-/// A command.
+/// A parsed command.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Command {
     Check {
@@ -91,19 +91,19 @@
 }
 
 impl Command {
-    /// Reads the arguments, the program's name left out.
+    /// Parses the arguments, without the program's name.
     pub(crate) fn parse(
         arguments: impl IntoIterator<Item = impl Into<OsString>>,
     ) -> Result<Self, CliError> {
         let arguments: Vec<_> = arguments.into_iter().map(Into::into).collect();
-        let words = Words::parse(arguments)?;
-        words.map_or(Ok(Self::Help), Words::command)
+        let parsed = RawArguments::parse(arguments)?;
+        parsed.map_or(Ok(Self::Help), RawArguments::command)
     }
 }
 
-/// Arguments by kind.
+/// Options and positional arguments, before the command is known.
 #[derive(Default)]
-struct Words {
+struct RawArguments {
     daemons: Vec<SocketAddr>,
     dry_run: bool,
     operator: Option<String>,
@@ -113,25 +113,25 @@
     version: bool,
 }
 
-impl Words {
-    /// Returns nothing when help is asked for.
+impl RawArguments {
+    /// Returns `None` when help is requested.
     fn parse(arguments: Vec<OsString>) -> Result<Option<Self>, CliError> {
         let mut parser = Parser::from_args(arguments);
-        let mut words = Self::default();
+        let mut parsed = Self::default();
         while let Some(argument) = parser.next()? {
             match argument {
                 Short('h') | Long("help") => return Ok(None),
-                Short('V') | Long("version") => words.version = true,
-                Long("by") => words.operator = Some(parser.value()?.string()?),
-                Long("daemon") => words.daemons.push(parser.value()?.parse()?),
-                Long("dry-run") => words.dry_run = true,
-                Long("platform") => words.platform = Some(parser.value()?.string()?),
-                Long("steward") => words.steward = Some(parser.value()?.parse()?),
-                Value(value) => words.values.push(value.string()?),
+                Short('V') | Long("version") => parsed.version = true,
+                Long("by") => parsed.operator = Some(parser.value()?.string()?),
+                Long("daemon") => parsed.daemons.push(parser.value()?.parse()?),
+                Long("dry-run") => parsed.dry_run = true,
+                Long("platform") => parsed.platform = Some(parser.value()?.string()?),
+                Long("steward") => parsed.steward = Some(parser.value()?.parse()?),
+                Value(value) => parsed.values.push(value.string()?),
                 other => return Err(other.unexpected().into()),
             }
         }
-        Ok(Some(words))
+        Ok(Some(parsed))
     }
 
     fn command(self) -> Result<Command, CliError> {
@@ -160,7 +160,7 @@
                 log: self.log()?,
             },
             ["key", "withdraw", digest] => Command::KeyWithdraw {
-                digest: read_digest(digest)?,
+                digest: parse_digest(digest)?,
                 log: self.log()?,
             },
             ["publish", folder] => Command::Publish {
@@ -174,7 +174,7 @@
             },
             ["quarantine", "list"] => Command::QuarantineList { log: self.log()? },
             ["quarantine", "lift", fingerprint] => Command::QuarantineLift {
-                fingerprint: read_fingerprint(fingerprint)?,
+                fingerprint: parse_fingerprint(fingerprint)?,
                 log: self.log()?,
             },
             ["status"] => Command::Status {
@@ -182,20 +182,20 @@
                 daemons: self.daemons,
             },
             ["usage"] => Command::Usage { log: self.log()? },
-            other => return wrong(format!("no command {:?}", other.join(" "))),
+            other => return usage_error(format!("no command {:?}", other.join(" "))),
         })
     }
 
     fn daemons(&self) -> Result<Vec<SocketAddr>, CliError> {
         if self.daemons.is_empty() {
-            return wrong("--daemon IP:PORT is missing");
+            return usage_error("--daemon IP:PORT is missing");
         }
         Ok(self.daemons.clone())
     }
 
     fn log(&self) -> Result<LogAccess, CliError> {
         let Some(platform) = self.platform.clone() else {
-            return wrong("--platform URL is missing");
+            return usage_error("--platform URL is missing");
         };
         Ok(LogAccess {
             platform,
@@ -204,16 +204,16 @@
     }
 }
 
-fn read_digest(text: &str) -> Result<KeyDigest, CliError> {
-    KeyDigest::try_from(text.to_owned()).or_else(wrong)
+fn parse_digest(text: &str) -> Result<KeyDigest, CliError> {
+    KeyDigest::try_from(text.to_owned()).or_else(usage_error)
 }
 
-fn read_fingerprint(text: &str) -> Result<u64, CliError> {
+fn parse_fingerprint(text: &str) -> Result<u64, CliError> {
     let fingerprint = u64::from_str_radix(text, 16);
-    fingerprint.or_else(|error| wrong(format!("fingerprint {text:?}: {error}")))
+    fingerprint.or_else(|error| usage_error(format!("fingerprint {text:?}: {error}")))
 }
 
-fn wrong<T>(message: impl Into<String>) -> Result<T, CliError> {
+fn usage_error<T>(message: impl Into<String>) -> Result<T, CliError> {
     let message = message.into();
     Err(CliError::Arguments { message })
 }
--- a/crates/godwitspool-cli/src/daemons.rs
+++ b/crates/godwitspool-cli/src/daemons.rs
@@ -1,4 +1,4 @@
-//! Asks daemons over their operators' addresses.
+//! Calls daemons over their operator addresses.
 
 use std::{io::Write, net::SocketAddr, time::Duration};
 
@@ -7,19 +7,19 @@
 
 use crate::error::CliError;
 
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks daemons to take no new work.
+/// Makes daemons drain: they take no new work.
 pub(crate) fn drain(daemons: &[SocketAddr], out: &mut impl Write) -> Result<(), CliError> {
     for address in daemons {
-        let answer = ask(*address, "/drain", true)?;
-        let said = answer.ok_or_else(|| refused(*address, "has nothing to drain"))?;
-        writeln!(out, "{address}: {said}")?;
+        let answer = call(*address, "/drain", true)?;
+        let body = answer.ok_or_else(|| daemon_error(*address, "has nothing to drain"))?;
+        writeln!(out, "{address}: {body}")?;
     }
     Ok(())
 }
 
-/// Shows what daemons know of a subject.
+/// Prints what daemons know of a subject. Fails if none of them knows it.
 pub(crate) fn explain(
     subject: &str,
     daemons: &[SocketAddr],
@@ -27,7 +27,7 @@
 ) -> Result<(), CliError> {
     let mut known = false;
     for address in daemons {
-        match ask(*address, &format!("/explain/{}", encode(subject)), false) {
+        match call(*address, &format!("/explain/{}", encode(subject)), false) {
             Ok(Some(answer)) => {
                 known = true;
                 writeln!(out, "{address}:\n{answer:#}")?;
@@ -43,21 +43,21 @@
     Err(CliError::Unknown { kind, name })
 }
 
-/// Shows a daemon's state.
+/// Prints a daemon's status, or why it couldn't be read.
 pub(crate) fn status(address: SocketAddr, out: &mut impl Write) -> Result<(), CliError> {
-    match ask(address, "/status", false) {
+    match call(address, "/status", false) {
         Ok(answer) => writeln!(out, "{address}:\n{:#}", answer.unwrap_or_default())?,
         Err(error) => writeln!(out, "{error}")?,
     }
     Ok(())
 }
 
-/// Returns nothing when the daemon has no such page.
-fn ask(address: SocketAddr, path: &str, post: bool) -> Result<Option<Value>, CliError> {
+/// Calls a daemon; returns `None` when it has no such page.
+fn call(address: SocketAddr, path: &str, post: bool) -> Result<Option<Value>, CliError> {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .proxy(None)
-        .timeout_global(Some(ANSWER_WITHIN))
+        .timeout_global(Some(CALL_TIMEOUT))
         .build();
     let agent = Agent::from(config);
     let url = format!("http://{address}{path}");
@@ -66,23 +66,24 @@
     } else {
         agent.get(&url).call()
     };
-    let mut answer = sent.map_err(|error| refused(address, &error))?;
+    let mut answer = sent.map_err(|error| daemon_error(address, &error))?;
     match answer.status().as_u16() {
         200 => {
             let body = answer.body_mut().read_json();
-            body.map(Some).map_err(|error| refused(address, &error))
+            body.map(Some)
+                .map_err(|error| daemon_error(address, &error))
         }
         404 => Ok(None),
-        status => Err(refused(address, &format!("status {status}"))),
+        status => Err(daemon_error(address, &format!("status {status}"))),
     }
 }
 
-fn refused(address: SocketAddr, reason: &(impl ToString + ?Sized)) -> CliError {
+fn daemon_error(address: SocketAddr, reason: &(impl ToString + ?Sized)) -> CliError {
     let reason = reason.to_string();
     CliError::Daemon { address, reason }
 }
 
-/// Encodes a name for a path.
+/// Percent-encodes a name for a path; `/` stays.
 fn encode(name: &str) -> String {
     let plain = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~/".contains(byte);
     name.bytes()
--- a/crates/godwitspool-cli/src/difference.rs
+++ b/crates/godwitspool-cli/src/difference.rs
@@ -5,7 +5,7 @@
 use godwitspool_version::Configuration;
 use serde_json::Value;
 
-/// A field that differs.
+/// A field that differs; a missing value means that the field was added or removed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Difference {
     path: String,
@@ -25,7 +25,7 @@
     }
 }
 
-/// Returns the fields that differ, by path.
+/// Returns the fields that differ, sorted by path.
 pub(crate) fn difference(old: &Configuration, new: &Configuration) -> Vec<Difference> {
     let (old, new) = (fields(old), fields(new));
     let paths = old
--- a/crates/godwitspool-cli/src/error.rs
+++ b/crates/godwitspool-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command was not carried out.
+//! Errors of commands and their exit statuses.
 
 use std::{io, net::SocketAddr, path::PathBuf};
 
@@ -6,10 +6,10 @@
 use godwitspool_process::{Findings, log_reader::CatchUpError};
 use snafu::Snafu;
 
-const FAILED: u8 = 1;
-const FINDINGS: u8 = 2;
+const FAILURE_STATUS: u8 = 1;
+const FINDINGS_STATUS: u8 = 2;
 
-/// Why a command was not carried out.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum CliError {
@@ -25,24 +25,24 @@
     Lines { path: PathBuf, source: io::Error },
     #[snafu(display("no line names {name:?}"))]
     NoLine { name: String },
-    #[snafu(display("{what} lost: {why}"))]
-    Lost { what: &'static str, why: String },
-    #[snafu(display("{what} was appended and not seen in the log within {seconds} s"))]
+    #[snafu(display("{what} had no effect: {why}"))]
+    NoEffect { what: &'static str, why: String },
+    #[snafu(display("{what} was appended, but did not appear in the log within {seconds} s"))]
     NotSeen { what: &'static str, seconds: u64 },
     #[snafu(display("output can't be written: {source}"), context(false))]
     Output { source: io::Error },
     #[snafu(display("{source}"), context(false))]
     Platform { source: PlatformError },
-    #[snafu(display("{kind} {name:?} is not in force"))]
+    #[snafu(display("unknown {kind} {name:?}"))]
     Unknown { kind: &'static str, name: String },
 }
 
 impl CliError {
-    /// Returns the exit status.
+    /// Returns the exit status of the process.
     pub(crate) fn status(&self) -> u8 {
         match self {
-            Self::Arguments { .. } | Self::Folder { .. } => FINDINGS,
-            _ => FAILED,
+            Self::Arguments { .. } | Self::Folder { .. } => FINDINGS_STATUS,
+            _ => FAILURE_STATUS,
         }
     }
 }
--- a/crates/godwitspool-cli/src/lib.rs
+++ b/crates/godwitspool-cli/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' command line.
 //!
-//! [`run`] carries out one command and returns its exit status: 0 when it was done, 1 when it
-//! failed, 2 for findings in the folder or on the command line.
+//! [`run`] runs one command and returns its exit status: 0 on success, 1 when the command failed, 2
+//! for findings in the folder or errors on the command line.
 //!
 //! ```
 //! let mut out = Vec::new();
@@ -17,36 +17,37 @@
 mod log;
 mod publish;
 mod report;
-mod story;
+mod timeline;
 
 use std::{ffi::OsString, io::Write};
 
 use command::{Command, HELP};
 use error::CliError;
 
-/// Carries out the command that the arguments name, the program's name left out.
+/// Runs the command in `arguments`, which don't include the program's name. Returns the exit
+/// status.
 pub fn run(
     arguments: impl IntoIterator<Item = impl Into<OsString>>,
     out: &mut impl Write,
     errors: &mut impl Write,
 ) -> u8 {
-    let done = Command::parse(arguments).and_then(|command| carry_out(command, out));
-    match done {
+    let result = Command::parse(arguments).and_then(|command| execute(command, out));
+    match result {
         Ok(()) => 0,
         Err(error) => {
-            // Nobody is left to tell when standard error is closed.
+            // A failed write to standard error can't be reported anywhere.
             drop(writeln!(errors, "{error}"));
             error.status()
         }
     }
 }
 
-fn carry_out(command: Command, out: &mut impl Write) -> Result<(), CliError> {
+fn execute(command: Command, out: &mut impl Write) -> Result<(), CliError> {
     match command {
         Command::Check { folder } => publish::check(&folder, out),
         Command::Drain { daemons } => daemons::drain(&daemons, out),
         Command::Explain { subject, daemons } => daemons::explain(&subject, &daemons, out),
-        Command::ExplainLines { subject, files } => story::explain(&subject, &files, out),
+        Command::ExplainLines { subject, files } => timeline::explain(&subject, &files, out),
         Command::Help => Ok(writeln!(out, "{HELP}")?),
         Command::KeyIssue { workspace, log } => log::issue_key(&workspace, &log, out),
         Command::KeyWithdraw { digest, log } => log::withdraw_key(digest, &log, out),
--- a/crates/godwitspool-cli/src/log.rs
+++ b/crates/godwitspool-cli/src/log.rs
@@ -1,4 +1,4 @@
-//! Appends to the platform's log and waits until what was appended is in force.
+//! Appends records to the platform's log and waits until they are in force.
 
 use std::{
     io::Write,
@@ -13,58 +13,59 @@
 
 use crate::{command::LogAccess, error::CliError};
 
-const TRIES: u32 = 5;
-const PAUSE: Duration = Duration::from_millis(200);
-const SEEN_WITHIN: Duration = Duration::from_secs(10);
+const MAX_APPEND_ATTEMPTS: u32 = 5;
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl LogAccess {
     fn platform(&self) -> Platform {
         Platform::new(self.platform.clone())
     }
 
-    /// Reads what is in force.
+    /// Reads the state that is in force.
     pub(crate) fn read(&self) -> Result<Replica, CliError> {
         Ok(catch_up(self.platform(), self.steward)?)
     }
 
-    /// Appends a record. A second copy is harmless, so a lost answer is no reason to stop.
+    /// Appends a record, with retries when the answer is lost or the platform throttles. A second
+    /// copy of a record has no effect.
     pub(crate) fn append(&self, record: &Record) -> Result<(), CliError> {
         let (platform, records) = (self.platform(), [record.encode()]);
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             match platform.append(&records) {
                 Ok(_) => return Ok(()),
-                Err(error) if tries == TRIES => return Err(error.into()),
+                Err(error) if attempts == MAX_APPEND_ATTEMPTS => return Err(error.into()),
                 Err(error) if error.ran() == Ran::NotRun && !error.is_throttled() => {
                     return Err(error.into());
                 }
-                Err(_) => tries += 1,
+                Err(_) => attempts += 1,
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_PAUSE);
         }
     }
 
-    /// Reads until what was appended shows.
+    /// Reads the state in force until `find` returns a value, and returns that value.
     pub(crate) fn wait_for<T>(
         &self,
         what: &'static str,
-        shows: impl Fn(&Fold) -> Option<T>,
+        find: impl Fn(&Fold) -> Option<T>,
     ) -> Result<T, CliError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            if let Some(shown) = shows(self.read()?.fold()) {
-                return Ok(shown);
+            if let Some(found) = find(self.read()?.fold()) {
+                return Ok(found);
             }
-            if begun.elapsed() >= SEEN_WITHIN {
-                let seconds = SEEN_WITHIN.as_secs();
+            if started.elapsed() >= IN_FORCE_TIMEOUT {
+                let seconds = IN_FORCE_TIMEOUT.as_secs();
                 return Err(CliError::NotSeen { what, seconds });
             }
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_PAUSE);
         }
     }
 }
 
-/// Issues a key and shows it once.
+/// Issues a key and prints it; only its digest is stored.
 pub(crate) fn issue_key(
     workspace: &Workspace,
     log: &LogAccess,
@@ -101,7 +102,7 @@
     Ok(())
 }
 
-/// Withdraws a key.
+/// Withdraws a key permanently.
 pub(crate) fn withdraw_key(
     digest: KeyDigest,
     log: &LogAccess,
@@ -122,7 +123,7 @@
     Ok(())
 }
 
-/// Lets requests of a fingerprint run again.
+/// Lifts the quarantine of a fingerprint, so that its requests run again.
 pub(crate) fn lift_quarantine(
     fingerprint: u64,
     log: &LogAccess,
--- a/crates/godwitspool-cli/src/publish.rs
+++ b/crates/godwitspool-cli/src/publish.rs
@@ -1,4 +1,4 @@
-//! Checks a folder and puts it in force.
+//! Checks a configuration folder and publishes it.
 
 use std::{io::Write, path::Path};
 
@@ -7,7 +7,7 @@
 
 use crate::{command::LogAccess, difference::difference, error::CliError};
 
-/// Checks a folder.
+/// Checks a folder and prints which settings override others.
 pub(crate) fn check(path: &Path, out: &mut impl Write) -> Result<(), CliError> {
     let folder = load(path)?;
     for replaced in &folder.overrides {
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// Puts a folder in force, or shows the difference.
+/// Publishes a folder, or with `dry_run` only prints the difference to the configuration in force.
 pub(crate) fn publish(
     path: &Path,
     operator: String,
@@ -69,7 +69,7 @@
     log.append(&record)?;
     let outcome = log.wait_for("publish", |fold| fold.outcome(record.id))?;
     if !outcome.counted {
-        return Err(CliError::Lost {
+        return Err(CliError::NoEffect {
             what: "publish",
             why: "another publish was first; look at the difference and publish again".to_owned(),
         });
@@ -82,7 +82,7 @@
     folder::load(path).map_err(|findings| CliError::Folder { findings })
 }
 
-/// Adds the keys that were issued beside the folder, and keeps withdrawn ones withdrawn.
+/// Adds the keys in force that the folder doesn't have, and keeps withdrawn keys withdrawn.
 fn with_keys_in_force(mut new: Configuration, old: &Configuration) -> Configuration {
     for (workspace, rules) in &mut new.workspaces {
         let Some(old) = old.workspaces.get(workspace) else {
--- a/crates/godwitspool-cli/src/report.rs
+++ b/crates/godwitspool-cli/src/report.rs
@@ -1,4 +1,4 @@
-//! What is in force, as text.
+//! Prints the state that is in force.
 
 use std::{io::Write, net::SocketAddr};
 
@@ -7,9 +7,9 @@
 
 use crate::{command::LogAccess, daemons, error::CliError};
 
-const LAST_ORDERS: usize = 10;
+const MAX_CLOSED_ORDERS: usize = 10;
 
-/// Shows what is in force and each daemon's state.
+/// Prints the state that is in force and the status of each daemon.
 pub(crate) fn status(
     log: Option<&LogAccess>,
     daemons: &[SocketAddr],
@@ -67,7 +67,7 @@
             intent.dc, intent.class, intent.action, intent.reason, intent.term
         )?;
     }
-    for closed in fold.orders().closed.iter().rev().take(LAST_ORDERS) {
+    for closed in fold.orders().closed.iter().rev().take(MAX_CLOSED_ORDERS) {
         let intent = &closed.intent;
         writeln!(
             out,
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-/// Shows the usage windows.
+/// Prints the usage windows and their states.
 pub(crate) fn usage(log: &LogAccess, out: &mut impl Write) -> Result<(), CliError> {
     let replica = log.read()?;
     let windows = replica.fold().windows();
@@ -113,7 +113,7 @@
     }
 }
 
-/// Shows the requests that are kept off all targets.
+/// Prints the quarantined fingerprints and the targets that they crashed.
 pub(crate) fn quarantine(log: &LogAccess, out: &mut impl Write) -> Result<(), CliError> {
     let replica = log.read()?;
     for (fingerprint, targets) in replica.fold().quarantine() {
--- a/crates/godwitspool-cli/src/story.rs
+++ b/crates/godwitspool-cli/src/timeline.rs
@@ -1,5 +1,5 @@
-//! What the collected lines of several hosts tell of one request, batch, item, target, lease or
-//! usage window.
+//! Merges the log lines of several hosts into a timeline of one request, batch, item, target, lease
+//! or usage window.
 
 mod host_clocks;
 mod log_line;
@@ -18,12 +18,13 @@
 
 use crate::error::{CliError, LinesSnafu};
 
-/// Seconds before the first line and after the last one in which changes of what hosts believe are
-/// shown as well: longer than an entry of a target takes to lapse.
-const MARGIN_S: f64 = 3.0;
+/// Time before the subject's first line and after its last one in which context lines are shown
+/// too. It is longer than a target's entry takes to expire.
+const CONTEXT_MARGIN_S: f64 = 3.0;
 
-/// Lines that tell what hosts believed, and the field by which each belongs to a story.
-const CONTEXT: [(&str, &str); 22] = [
+/// Messages about changes of the hosts' state, which give context, and for each the field that
+/// relates it to a subject.
+const CONTEXT_MESSAGES: [(&str, &str); 22] = [
     ("batch ended", "batch"),
     ("batch submitted", "batch"),
     ("batch taken over", "batch"),
@@ -48,29 +49,32 @@
     ("target's entry removed", "target_name"),
 ];
 
-/// What a subject's lines refer to.
+/// The hosts, batches, targets and so on to which a subject's lines refer.
 #[derive(Debug, Default)]
 struct Related {
-    /// Values by field.
+    /// Values of the related fields, by field name.
     values: BTreeMap<String, BTreeSet<String>>,
     /// Time of the first and the last line.
     span: Option<(f64, f64)>,
 }
 
-/// A line of the story, and how many other hosts wrote the same.
-struct Told {
+/// A line of the timeline.
+struct Entry {
     line: LogLine,
+    /// Time with the host's clock corrected, in seconds since 1970.
     time: f64,
+    /// Whether the line names the subject itself.
     own: bool,
+    /// Number of other hosts that wrote the same line.
     others: usize,
 }
 
-/// Prints a subject's story in the order of time, the hosts' clocks put right. Reads the files
-/// three times (clocks, subject, context), so that memory holds the story only.
+/// Prints the timeline of a subject, with the hosts' clocks corrected. Reads the files three times
+/// (clocks, subject, context), so that only the timeline is kept in memory.
 ///
 /// # Errors
 ///
-/// When a file can't be read, or no line names the subject.
+/// Returns an error when a file can't be read or no line names the subject.
 pub(crate) fn explain(
     subject: &str,
     files: &[PathBuf],
@@ -93,14 +97,14 @@
         let name = subject.to_owned();
         return Err(CliError::NoLine { name });
     }
-    let mut told: Vec<Told> = Vec::new();
+    let mut entries: Vec<Entry> = Vec::new();
     for file in files {
         read_lines(file, |line| {
             let own = line.names(subject);
             let time = clocks.corrected(&line);
             if own || related.includes(&line, time) {
                 let others = 0;
-                told.push(Told {
+                entries.push(Entry {
                     line,
                     time,
                     own,
@@ -109,40 +113,40 @@
             }
         })?;
     }
-    told.sort_by(|a, b| a.time.total_cmp(&b.time));
-    print(&merge(told), &clocks, out)
+    entries.sort_by(|a, b| a.time.total_cmp(&b.time));
+    print(&merge(entries), &clocks, out)
 }
 
 impl Related {
     fn add(&mut self, line: &LogLine, time: f64) {
         let (first, last) = self.span.unwrap_or((time, time));
         self.span = Some((first.min(time), last.max(time)));
-        self.put("host", &line.host);
+        self.add_value("host", &line.host);
         for (key, value) in &line.fields {
             match key.as_str() {
-                // Targets that a request was sent to.
+                // The targets to which a request was sent.
                 "tried" => {
                     for name in names_in(value) {
-                        self.put("target_name", name);
+                        self.add_value("target_name", name);
                     }
                 }
-                "batch" | "epoch" | "partition" | "target_name" => self.put(key, value),
+                "batch" | "epoch" | "partition" | "target_name" => self.add_value(key, value),
                 _ => {}
             }
         }
     }
 
-    fn put(&mut self, key: &str, value: &str) {
+    fn add_value(&mut self, key: &str, value: &str) {
         let values = self.values.entry(key.to_owned()).or_default();
         values.insert(value.to_owned());
     }
 
-    /// Tells whether a line says what hosts believed of something that the story is about.
+    /// Returns whether a line gives context: it is near in time and is about a related value.
     fn includes(&self, line: &LogLine, time: f64) -> bool {
-        let near = self
-            .span
-            .is_some_and(|(first, last)| time >= first - MARGIN_S && time <= last + MARGIN_S);
-        let kind = CONTEXT
+        let near = self.span.is_some_and(|(first, last)| {
+            time >= first - CONTEXT_MARGIN_S && time <= last + CONTEXT_MARGIN_S
+        });
+        let kind = CONTEXT_MESSAGES
             .iter()
             .find(|(message, _)| near && *message == line.message);
         let Some((_, key)) = kind else {
@@ -157,11 +161,11 @@
     }
 }
 
-/// Keeps the first of lines that several hosts wrote of the same fact.
-fn merge(told: Vec<Told>) -> Vec<Told> {
+/// Merges equal lines of several hosts into the first of them.
+fn merge(entries: Vec<Entry>) -> Vec<Entry> {
     let mut first: HashMap<(String, String), usize> = HashMap::new();
-    let mut merged: Vec<Told> = Vec::new();
-    for next in told {
+    let mut merged: Vec<Entry> = Vec::new();
+    for next in entries {
         let fact = (next.line.message.clone(), next.line.details());
         match first.get(&fact) {
             Some(index) if merged[*index].line.host != next.line.host => {
@@ -176,27 +180,27 @@
     merged
 }
 
-fn print(told: &[Told], clocks: &HostClocks, out: &mut impl Write) -> Result<(), CliError> {
-    let hosts: BTreeSet<&Arc<str>> = told.iter().map(|told| &told.line.host).collect();
+fn print(entries: &[Entry], clocks: &HostClocks, out: &mut impl Write) -> Result<(), CliError> {
+    let hosts: BTreeSet<&Arc<str>> = entries.iter().map(|entry| &entry.line.host).collect();
     for host in hosts {
-        let line = told.iter().find(|told| told.line.host == *host);
-        let lead = line.map(|told| clocks.lead(host, told.line.time));
-        match lead.flatten() {
+        let line = entries.iter().find(|entry| entry.line.host == *host);
+        let skew = line.map(|entry| clocks.skew(host, entry.line.time));
+        match skew.flatten() {
             None => writeln!(out, "clock of {host}: nothing to compare it with")?,
-            Some(lead) if lead > 0.0 => writeln!(out, "clock of {host}: {lead:.3} s ahead")?,
-            Some(lead) if lead < 0.0 => writeln!(out, "clock of {host}: {:.3} s behind", -lead)?,
+            Some(skew) if skew > 0.0 => writeln!(out, "clock of {host}: {skew:.3} s ahead")?,
+            Some(skew) if skew < 0.0 => writeln!(out, "clock of {host}: {:.3} s behind", -skew)?,
             Some(_) => {}
         }
     }
-    let first = told.iter().find(|told| told.own);
-    let zero = first.map(|told| told.time).unwrap_or_default();
+    let first = entries.iter().find(|entry| entry.own);
+    let zero = first.map(|entry| entry.time).unwrap_or_default();
     writeln!(out, "seconds from {zero:.3}; * names the subject itself")?;
-    for Told {
+    for Entry {
         line,
         time,
         own,
         others,
-    } in told
+    } in entries
     {
         let mark = if *own { '*' } else { ' ' };
         let (at, host, message) = (time - zero, &line.host, &line.message);
@@ -210,7 +214,7 @@
     Ok(())
 }
 
-/// Reads the lines of a file; what isn't a host's line is passed over.
+/// Reads the lines of a file and skips those that are no log line of a host.
 fn read_lines(path: &Path, mut visit: impl FnMut(LogLine)) -> Result<(), CliError> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     let mut host: Arc<str> = Arc::from(&*name);
--- a/crates/godwitspool-cli/src/story/log_line.rs
+++ b/crates/godwitspool-cli/src/timeline/log_line.rs
@@ -1,23 +1,24 @@
-//! A line of a host's log.
+//! Parses the lines of a host's log.
 
 use std::sync::Arc;
 
 /// A line of a host's log.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LogLine {
-    /// The host that wrote it.
+    /// Host that wrote the line.
     pub host: Arc<str>,
-    /// Its time by that host's clock, in seconds from 1970.
+    /// Time by that host's clock, in seconds since 1970.
     pub time: f64,
-    /// What it says.
+    /// Text of the message.
     pub message: String,
-    /// What it is about.
+    /// Other fields, in order, without `level` and `part`.
     pub fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; a collector's prefix may stand before it, whose last word is the host's name.
-    /// Returns nothing if there is no line of a host in it.
+    /// Parses a line. A collector may have added a prefix whose last word is the host's name.
+    /// Without a prefix and a `host` field, the line is of `host`. Returns `None` if the text has
+    /// no log line.
     pub(crate) fn read(text: &str, host: &Arc<str>) -> Option<Self> {
         let start = text.find("time=")?;
         let prefix = text[..start].split_whitespace().next_back();
@@ -47,14 +48,14 @@
         Some(value)
     }
 
-    /// Tells whether a field holds this identifier, alone or in a list.
+    /// Returns whether a field contains this identifier, alone or in a list.
     pub(crate) fn names(&self, id: &str) -> bool {
         self.fields
             .iter()
             .any(|(_, value)| value == id || names_in(value).any(|name| name == id))
     }
 
-    /// Returns the fields as they stand in the log.
+    /// Returns the fields in the format of the log.
     pub(crate) fn details(&self) -> String {
         let texts = self.fields.iter().map(|(key, value)| {
             if value.contains(char::is_whitespace) {
@@ -67,31 +68,31 @@
     }
 }
 
-/// Returns the names in a value that may be a list.
+/// Returns the names in a value, which may be a list.
 pub(crate) fn names_in(value: &str) -> impl Iterator<Item = &str> {
     let names = value.split(|c: char| !c.is_alphanumeric() && !"-_.".contains(c));
     names.filter(|name| !name.is_empty())
 }
 
-/// Splits `key=value` pairs; values with spaces are quoted.
+/// Splits a text into its `key=value` pairs. Values with spaces are quoted.
 fn pairs(text: &str) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     let mut rest = text.trim_end();
-    while let Some((key, behind)) = rest.split_once('=') {
-        let (value, length) = behind.strip_prefix('"').map_or_else(
+    while let Some((key, after)) = rest.split_once('=') {
+        let (value, length) = after.strip_prefix('"').map_or_else(
             || {
-                let length = behind.find(' ').unwrap_or(behind.len());
-                (behind[..length].to_owned(), length)
+                let length = after.find(' ').unwrap_or(after.len());
+                (after[..length].to_owned(), length)
             },
             unquote,
         );
         pairs.push((key.trim_start().to_owned(), value));
-        rest = &behind[length..];
+        rest = &after[length..];
     }
     pairs
 }
 
-/// Reads up to the closing quote; returns the value and its length in the text, quotes included.
+/// Reads up to the closing quote. Returns the value and its length in the text, including quotes.
 fn unquote(quoted: &str) -> (String, usize) {
     let mut value = String::new();
     let mut chars = quoted.char_indices();
@@ -106,6 +107,6 @@
             other => value.push(other),
         }
     }
-    // The line was cut off within the value.
+    // The line ends within the value.
     (value, quoted.len() + 1)
 }
--- a/crates/godwitspool-cli/tests/cli.rs
+++ b/crates/godwitspool-cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line against the stand-in platform and daemons' operators' pages.
+//! The command line against the stand-in platform and the operator pages of daemons.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,17 +13,17 @@
 
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
-/// What a command printed, and its exit status.
-struct Done {
+/// The output of a command and its exit status.
+struct Finished {
     errors: String,
     out: String,
     status: u8,
 }
 
-fn run(arguments: &[&str]) -> Done {
+fn run(arguments: &[&str]) -> Finished {
     let (mut out, mut errors) = (Vec::new(), Vec::new());
     let status = godwitspool_cli::run(arguments, &mut out, &mut errors);
-    Done {
+    Finished {
         errors: String::from_utf8(errors).unwrap(),
         out: String::from_utf8(out).unwrap(),
         status,
@@ -46,7 +46,7 @@
     format!("{EXAMPLES}/habimana")
 }
 
-/// Writes a folder of the test's own.
+/// Writes a configuration folder for one test.
 fn folder(name: &str, files: &[(&str, &str)]) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     drop(fs::remove_dir_all(&path));
@@ -57,8 +57,6 @@
     path
 }
 
-// --- Folders
-
 #[rstest]
 #[case(
     "habimana",
@@ -143,24 +141,24 @@
     assert!(out.contains("in force from offset 0"), "{out}");
     assert!(
         platform.log(Offset(0)).len() > 1,
-        "the record was appended again"
+        "the record was not appended again"
     );
 }
 
-/// Tells whether a publish was made by one who had seen none before.
+/// Returns whether a record is a publish whose author had seen no earlier publish.
 fn follows_nothing(record: &str) -> bool {
     let body = Record::decode(record).unwrap().body;
     matches!(body, RecordBody::Publish(publish) if publish.base.is_none())
 }
 
 #[test]
-fn of_two_publishes_at_once_the_later_is_told() {
-    const TRIES: usize = 10;
-    for _ in 0..TRIES {
+fn of_two_concurrent_publishes_the_later_fails() {
+    const MAX_ATTEMPTS: usize = 10;
+    for _ in 0..MAX_ATTEMPTS {
         let (platform, url) = platform();
         platform.set_slow(400);
         let publish = thread::spawn(move || run(&["publish", &habimana(), "--platform", &url]));
-        // The command has read the log after 400 ms and appends 400 ms later.
+        // The command has read the log after 400 ms, and its append takes effect 400 ms later.
         thread::sleep(Duration::from_millis(600));
         let other = RecordBody::Publish(Publish::default());
         let first = platform.append(Record::new(other).encode()) == Offset(0);
@@ -172,7 +170,7 @@
             return;
         }
     }
-    panic!("no publish met another in {TRIES} tries");
+    panic!("no two publishes were concurrent in {MAX_ATTEMPTS} attempts");
 }
 
 #[test]
@@ -188,8 +186,6 @@
     );
 }
 
-// --- Keys and quarantine
-
 #[test]
 fn a_key_is_issued_shown_once_and_withdrawn() {
     let (platform, url) = platform();
@@ -202,12 +198,12 @@
     let kept = platform.log(Offset(0));
     assert!(
         kept.iter().all(|record| !record.body.contains(&key)),
-        "kept as a digest only"
+        "the log holds the key itself"
     );
     let again = succeed(&["publish", &habimana(), "--platform", &url]);
     assert!(
         again.contains("nothing differs"),
-        "the folder doesn't take the key away: {again}"
+        "publishing the folder again removes the key: {again}"
     );
     let out = succeed(&["key", "withdraw", &digest, "--platform", &url]);
     assert!(
@@ -217,11 +213,11 @@
 }
 
 #[rstest]
-#[case(&["key", "issue", "habimana/nobody"], 1, "workspace \"habimana/nobody\" is not in force")]
+#[case(&["key", "issue", "habimana/nobody"], 1, "unknown workspace \"habimana/nobody\"")]
 #[case(&["key", "withdraw", "abc"], 2, "key digest has 3 characters")]
-#[case(&["quarantine", "lift", "07"], 1, "is not in force")]
+#[case(&["quarantine", "lift", "07"], 1, "unknown fingerprint")]
 #[case(&["quarantine", "lift", "x"], 2, "fingerprint \"x\"")]
-fn what_is_not_in_force_is_refused(
+fn unknown_names_are_refused(
     #[case] arguments: &[&str],
     #[case] status: u8,
     #[case] expected: &str,
@@ -250,8 +246,6 @@
     assert!(out.contains("0 fingerprints"), "{out}");
 }
 
-// --- Reports and daemons
-
 #[test]
 fn status_and_usage_show_what_is_in_force() {
     let (_platform, url) = platform();
@@ -295,7 +289,7 @@
     let done = run(&["explain", "nothing", "--daemon", &address]);
     assert_eq!(done.status, 1);
     assert!(
-        done.errors.contains("subject \"nothing\" is not in force"),
+        done.errors.contains("unknown subject \"nothing\""),
         "{}",
         done.errors
     );
--- a/crates/godwitspool-cli/tests/explain.rs
+++ b/crates/godwitspool-cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `godwitspool explain ID FILE...` over lines of hosts whose clocks differ.
+//! `godwitspool explain ID FILE...` with log lines of hosts whose clocks differ.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -6,7 +6,7 @@
 
 use rstest::rstest;
 
-/// Lines of the host that accepted a batch. Its clock is right.
+/// Log of the host that accepted a batch. Its clock is right.
 const NORTH: &str = r#"
 time=100.000 level=info part=h::process message="host starts" host=north version=0.1.0
 time=101.000 level=info part=h::tails message="version named" model=m version=2 offset=1
@@ -18,7 +18,7 @@
 cut off within a li
 "#;
 
-/// Lines of the host that ran its items. Its clock is two seconds behind.
+/// Log of the host that ran the batch's items. Its clock is two seconds behind.
 const SOUTH: &str = r#"
 time=98.000 level=info part=h::process message="host starts" host=south version=0.1.0
 time=99.000 level=info part=h::tails message="version named" model=m version=2 offset=1
@@ -33,7 +33,7 @@
 time=109.600 level=info part=h::tails message="target gone" target_name=t-2 service=s
 "#;
 
-/// Lines of a third host. Its clock is right.
+/// Log of a third host. Its clock is right.
 const EAST: &str = r#"
 time=100.500 level=info part=h::process message="host starts" host=east version=0.1.0
 time=101.000 level=info part=h::tails message="version named" model=m version=2 offset=1
@@ -41,7 +41,8 @@
 time=103.002 level=info part=h::reports message="load begins" target_name=e-1 model=m version=2
 "#;
 
-/// Writes the hosts' files and returns what is told of a subject.
+/// Writes the hosts' files and explains a subject. Returns the exit status, the output and the
+/// errors.
 fn explain(test: &str, subject: &str) -> (u8, String, String) {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     fs::create_dir_all(&folder).unwrap();
@@ -59,21 +60,22 @@
     }
     let (mut out, mut errors) = (Vec::new(), Vec::new());
     let status = godwitspool_cli::run(arguments, &mut out, &mut errors);
-    let read = |bytes| String::from_utf8(bytes).unwrap();
-    (status, read(out), read(errors))
+    let utf8 = |bytes| String::from_utf8(bytes).unwrap();
+    (status, utf8(out), utf8(errors))
 }
 
-/// Asserts that texts stand in this order.
+/// Asserts that the output contains the texts in this order.
 fn assert_order(out: &str, texts: &[&str]) {
     let mut from = 0;
     for text in texts {
         let found = out[from..].find(text);
-        from += found.unwrap_or_else(|| panic!("{text:?} isn't next in:\n{out}")) + text.len();
+        from += found.unwrap_or_else(|| panic!("{text:?} is missing or out of order in:\n{out}"))
+            + text.len();
     }
 }
 
 #[test]
-fn an_items_story_is_in_order_though_the_hosts_clocks_differ() {
+fn an_items_timeline_is_in_order_though_the_hosts_clocks_differ() {
     let (status, out, errors) = explain("item", "i-1");
     assert_eq!(status, 0, "{errors}");
     assert_order(
@@ -87,12 +89,12 @@
             "*   +1.480 south: item completed",
         ],
     );
-    assert!(!out.contains("i-2"), "another item's:\n{out}");
-    assert!(!out.contains("b-2"), "another batch's:\n{out}");
+    assert!(!out.contains("i-2"), "lines of another item:\n{out}");
+    assert!(!out.contains("b-2"), "lines of another batch:\n{out}");
 }
 
 #[test]
-fn a_batchs_story_tells_what_its_partition_met() {
+fn a_batchs_timeline_shows_events_of_its_partition() {
     let (status, out, _) = explain("batch", "b-1");
     assert_eq!(status, 0);
     assert_order(
@@ -108,18 +110,18 @@
 }
 
 #[test]
-fn a_requests_story_tells_what_became_of_the_targets_tried() {
+fn a_requests_timeline_shows_the_loss_of_a_target_it_tried() {
     let (status, out, _) = explain("request", "r-1");
     assert_eq!(status, 0);
     assert_order(&out, &["request not served", "target gone target_name=t-2"]);
 }
 
 #[test]
-fn one_fact_of_several_hosts_is_told_once() {
+fn a_fact_logged_by_several_hosts_is_shown_once() {
     let (status, out, _) = explain("target", "e-1");
     assert_eq!(status, 0);
-    let begins = "north: load begins target_name=e-1 model=m version=2 (and 1 other hosts)";
-    assert!(out.contains(begins), "{out}");
+    let expected = "north: load begins target_name=e-1 model=m version=2 (and 1 other hosts)";
+    assert!(out.contains(expected), "{out}");
     let (_, out, _) = explain("model", "m");
     let named = "version named model=m version=2 offset=1 (and 2 other hosts)";
     assert!(out.contains(named), "{out}");
--- a/crates/godwitspool-history/src/lib.rs
+++ b/crates/godwitspool-history/src/lib.rs
@@ -1,8 +1,8 @@
 //! Records what callers, trainers, targets and the platform observe, and checks that the system
 //! kept its promises.
 //!
-//! A [`Promise`] is a guarantee whose violation can be observed from outside. The checks don't rely on
-//! the system's own processes: every [`Event`] is observed by a caller, a trainer, a target, the
+//! A [`Promise`] is a guarantee whose violation can be observed from outside. The checks don't rely
+//! on the system's own processes: every [`Event`] is observed by a caller, a trainer, a target, the
 //! platform or an operator.
 //!
 //! ```
