--- a/crates/godwitspool-cli/src/daemons.rs
+++ b/crates/godwitspool-cli/src/daemons.rs
@@ -12,9 +12,9 @@
 /// Makes daemons drain: they take no new work.
 pub(crate) fn drain(daemons: &[SocketAddr], out: &mut impl Write) -> Result<(), CliError> {
     for address in daemons {
-        let answer = call(*address, "/drain", true)?;
-        let body = answer.ok_or_else(|| daemon_error(*address, "has nothing to drain"))?;
-        writeln!(out, "{address}: {body}")?;
+        let answer = request(*address, "/drain", true)?;
+        let reply = answer.ok_or_else(|| daemon_error(*address, "has nothing to drain"))?;
+        writeln!(out, "{address}: {reply}")?;
     }
     Ok(())
 }
@@ -27,7 +27,7 @@
 ) -> Result<(), CliError> {
     let mut known = false;
     for address in daemons {
-        match call(*address, &format!("/explain/{}", encode(subject)), false) {
+        match request(*address, &format!("/explain/{}", encode(subject)), false) {
             Ok(Some(answer)) => {
                 known = true;
                 writeln!(out, "{address}:\n{answer:#}")?;
@@ -45,7 +45,7 @@
 
 /// Prints a daemon's status, or why it couldn't be read.
 pub(crate) fn status(address: SocketAddr, out: &mut impl Write) -> Result<(), CliError> {
-    match call(address, "/status", false) {
+    match request(address, "/status", false) {
         Ok(answer) => writeln!(out, "{address}:\n{:#}", answer.unwrap_or_default())?,
         Err(error) => writeln!(out, "{error}")?,
     }
@@ -53,7 +53,7 @@
 }
 
 /// Calls a daemon; returns `None` when it has no such page.
-fn call(address: SocketAddr, path: &str, post: bool) -> Result<Option<Value>, CliError> {
+fn request(address: SocketAddr, path: &str, post: bool) -> Result<Option<Value>, CliError> {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .proxy(None)
--- a/crates/godwitspool-cli/src/log.rs
+++ b/crates/godwitspool-cli/src/log.rs
@@ -45,15 +45,15 @@
         }
     }
 
-    /// Reads the state in force until `find` returns a value, and returns that value.
+    /// Reads the state in force until `select` returns a value, and returns that value.
     pub(crate) fn wait_for<T>(
         &self,
         what: &'static str,
-        find: impl Fn(&Fold) -> Option<T>,
+        select: impl Fn(&Fold) -> Option<T>,
     ) -> Result<T, CliError> {
         let started = Instant::now();
         loop {
-            if let Some(found) = find(self.read()?.fold()) {
+            if let Some(found) = select(self.read()?.fold()) {
                 return Ok(found);
             }
             if started.elapsed() >= IN_FORCE_TIMEOUT {
--- a/crates/godwitspool-cli/src/timeline.rs
+++ b/crates/godwitspool-cli/src/timeline.rs
@@ -59,7 +59,7 @@
 }
 
 /// A line of the timeline.
-struct Entry {
+struct Row {
     line: LogLine,
     /// Time with the host's clock corrected, in seconds since 1970.
     time: f64,
@@ -97,14 +97,14 @@
         let name = subject.to_owned();
         return Err(CliError::NoLine { name });
     }
-    let mut entries: Vec<Entry> = Vec::new();
+    let mut rows: Vec<Row> = Vec::new();
     for file in files {
         read_lines(file, |line| {
             let own = line.names(subject);
             let time = clocks.corrected(&line);
             if own || related.includes(&line, time) {
                 let others = 0;
-                entries.push(Entry {
+                rows.push(Row {
                     line,
                     time,
                     own,
@@ -113,8 +113,8 @@
             }
         })?;
     }
-    entries.sort_by(|a, b| a.time.total_cmp(&b.time));
-    print(&merge(entries), &clocks, out)
+    rows.sort_by(|a, b| a.time.total_cmp(&b.time));
+    print(&merge(rows), &clocks, out)
 }
 
 impl Related {
@@ -162,10 +162,10 @@
 }
 
 /// Merges equal lines of several hosts into the first of them.
-fn merge(entries: Vec<Entry>) -> Vec<Entry> {
+fn merge(rows: Vec<Row>) -> Vec<Row> {
     let mut first: HashMap<(String, String), usize> = HashMap::new();
-    let mut merged: Vec<Entry> = Vec::new();
-    for next in entries {
+    let mut merged: Vec<Row> = Vec::new();
+    for next in rows {
         let fact = (next.line.message.clone(), next.line.details());
         match first.get(&fact) {
             Some(index) if merged[*index].line.host != next.line.host => {
@@ -180,11 +180,11 @@
     merged
 }
 
-fn print(entries: &[Entry], clocks: &HostClocks, out: &mut impl Write) -> Result<(), CliError> {
-    let hosts: BTreeSet<&Arc<str>> = entries.iter().map(|entry| &entry.line.host).collect();
+fn print(rows: &[Row], clocks: &HostClocks, out: &mut impl Write) -> Result<(), CliError> {
+    let hosts: BTreeSet<&Arc<str>> = rows.iter().map(|row| &row.line.host).collect();
     for host in hosts {
-        let line = entries.iter().find(|entry| entry.line.host == *host);
-        let skew = line.map(|entry| clocks.skew(host, entry.line.time));
+        let line = rows.iter().find(|row| row.line.host == *host);
+        let skew = line.map(|row| clocks.skew(host, row.line.time));
         match skew.flatten() {
             None => writeln!(out, "clock of {host}: nothing to compare it with")?,
             Some(skew) if skew > 0.0 => writeln!(out, "clock of {host}: {skew:.3} s ahead")?,
@@ -192,15 +192,15 @@
             Some(_) => {}
         }
     }
-    let first = entries.iter().find(|entry| entry.own);
-    let zero = first.map(|entry| entry.time).unwrap_or_default();
+    let first = rows.iter().find(|row| row.own);
+    let zero = first.map(|row| row.time).unwrap_or_default();
     writeln!(out, "seconds from {zero:.3}; * names the subject itself")?;
-    for Entry {
+    for Row {
         line,
         time,
         own,
         others,
-    } in entries
+    } in rows
     {
         let mark = if *own { '*' } else { ' ' };
         let (at, host, message) = (time - zero, &line.host, &line.message);
