--- a/crates/godwitspool-connection/src/peer/frame.rs
+++ b/crates/godwitspool-connection/src/peer/frame.rs
@@ -22,8 +22,8 @@
     /// The connection ended within a frame.
     #[snafu(display("connection ended within a frame, at least {missing} bytes are missing"))]
     Truncated {
-        /// Minimum number of missing bytes. While the header is incomplete, only its own are
-        /// counted.
+        /// Minimum number of missing bytes. If the header is incomplete, only bytes of the header
+        /// are counted.
         missing: usize,
     },
     /// The body doesn't decode to a message of the expected type.
