--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -216,7 +216,7 @@
             // new one.
             self.shared
                 .client(self.admitted.assignment.address)
-                .condemn_pooled();
+                .clear_pool();
         }
         match ended {
             Ok(ended) => ended,
@@ -261,7 +261,7 @@
                 idle_timeouts.next.observe(now - last_chunk_at);
             }
             last_chunk_at = now;
-            stream.set_idle(idle_timeouts.next.current());
+            stream.set_idle_timeout(idle_timeouts.next.current());
             if self.open.is_withdrawn() {
                 return Ok(AttemptEnd::KeyWithdrawn);
             }
--- a/crates/godwitspool-entry/src/request/plain.rs
+++ b/crates/godwitspool-entry/src/request/plain.rs
@@ -197,7 +197,7 @@
                 .dispatch
                 .set_idle_timeouts(&admitted.assignment.target, idle_timeouts);
         }
-        Err(CallError::Silent { .. }) => client.condemn_pooled(),
+        Err(CallError::Silent { .. }) => client.clear_pool(),
         Err(_) => {}
     }
     outcome
--- a/crates/godwitspool-steward/src/version/orders.rs
+++ b/crates/godwitspool-steward/src/version/orders.rs
@@ -26,7 +26,7 @@
 /// Decides and sends target orders at each tick until the timer stops.
 pub(crate) fn run(shared: &Arc<Shared>, ticks: &Receiver<Tick>) {
     let bounds = PlatformBounds {
-        call: shared.leases.rules.order_timeout,
+        call_timeout: shared.leases.rules.order_timeout,
         ..PlatformBounds::default()
     };
     let platform = Platform::with_bounds(shared.settings.platform.clone(), bounds);
