--- a/crates/godwitspool-entry/src/process/shared.rs
+++ b/crates/godwitspool-entry/src/process/shared.rs
@@ -55,12 +55,13 @@
         }
     }
 
-    /// Returns the view as last heard.
+    /// Returns the latest view.
     pub(crate) fn view(&self) -> Arc<View> {
         Arc::clone(&self.view.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Replaces the view unless the new one is older; a configuration never reverts.
+    /// Replaces the view unless the new one is older. Another steward may be behind, and a
+    /// configuration must never revert.
     pub(crate) fn replace_view(&self, view: View) {
         let mut current = self.view.write().unwrap_or_else(PoisonError::into_inner);
         if view.offset >= current.offset {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Returns the client of a target's address.
+    /// Returns the client of a target's address, which is created on first use.
     pub(crate) fn client(&self, address: SocketAddr) -> TargetClient {
         let mut clients = self.clients.lock().unwrap_or_else(PoisonError::into_inner);
         clients
@@ -77,10 +78,7 @@
             .clone()
     }
 
-    // -----------------------------------------------------------------------
-    // Work in progress
-
-    /// Returns this entry's requests in flight on a target.
+    /// Returns the number of this entry's requests in flight on a target.
     pub(crate) fn in_flight(&self, target: &TargetName) -> u32 {
         let counts = self
             .in_flight
@@ -89,34 +87,36 @@
         counts.get(target).copied().unwrap_or(0)
     }
 
-    /// Counts a request on a target until the guard is dropped.
-    pub(crate) fn enter_target(self: &Arc<Self>, target: &TargetName) -> OnTarget {
+    /// Counts a request as in flight on a target, and in the target's load for routing, until the
+    /// guard is dropped.
+    pub(crate) fn track_target(self: &Arc<Self>, target: &TargetName) -> TargetGuard {
         let id = self.serving.dispatch.begin(target);
-        self.enter_chosen(target, id)
+        self.track_assigned(target, id)
     }
 
-    /// Counts a request on a target whose load it counts already, until the guard is dropped.
-    pub(crate) fn enter_chosen(
+    /// Counts a request as in flight on a target until the guard is dropped. Routing already counts
+    /// it in the load of `id`, which the guard also ends.
+    pub(crate) fn track_assigned(
         self: &Arc<Self>,
         target: &TargetName,
         id: Option<TargetId>,
-    ) -> OnTarget {
+    ) -> TargetGuard {
         let mut counts = self
             .in_flight
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         *counts.entry(target.clone()).or_insert(0) += 1;
-        OnTarget {
+        TargetGuard {
             id,
             shared: Arc::clone(self),
             target: target.clone(),
         }
     }
 
-    /// Counts a caller's request until the guard is dropped.
-    pub(crate) fn enter_request(self: &Arc<Self>) -> InProgress {
+    /// Counts a caller's request as in progress until the guard is dropped.
+    pub(crate) fn track_request(self: &Arc<Self>) -> RequestGuard {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
-        InProgress {
+        RequestGuard {
             shared: Arc::clone(self),
         }
     }
@@ -125,10 +125,7 @@
         self.in_progress.load(Ordering::Acquire)
     }
 
-    // -----------------------------------------------------------------------
-    // End of the process
-
-    /// Stops to tell the balancer that the entry is ready; new requests are still served.
+    /// Makes the readiness page report that the entry isn't ready. New requests are still served.
     pub(crate) fn begin_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
@@ -155,15 +152,15 @@
     }
 }
 
-/// Counts a request on a target while it lives.
+/// Counts a request as in flight on a target while the guard lives.
 #[derive(Debug)]
-pub(crate) struct OnTarget {
+pub(crate) struct TargetGuard {
     id: Option<TargetId>,
     shared: Arc<Shared>,
     target: TargetName,
 }
 
-impl Drop for OnTarget {
+impl Drop for TargetGuard {
     fn drop(&mut self) {
         let mut counts = self
             .shared
@@ -180,13 +177,13 @@
     }
 }
 
-/// Counts a caller's request while it lives.
+/// Counts a caller's request as in progress while the guard lives.
 #[derive(Debug)]
-pub(crate) struct InProgress {
+pub(crate) struct RequestGuard {
     shared: Arc<Shared>,
 }
 
-impl Drop for InProgress {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.shared.in_progress.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -1,4 +1,4 @@
-//! Admission and routing of the requests of this entry, behind one lock.
+//! Admission and routing of this entry's requests, behind one lock.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -25,10 +25,10 @@
     request::work::Work,
 };
 
-/// Slots of a target whose service isn't configured.
+/// Slots of each target of a service without rules in the configuration.
 const DEFAULT_SLOTS: u32 = 16;
 
-/// A target that a request was given.
+/// The target to which a request is assigned.
 #[derive(Clone, Debug)]
 pub(crate) struct Assignment {
     pub(crate) address: SocketAddr,
@@ -37,14 +37,16 @@
     pub(crate) target: TargetName,
 }
 
-/// Paces of the reads from one target.
+/// Adaptive idle timeouts of reads from one target.
 #[derive(Clone, Debug)]
-pub(crate) struct Paces {
+pub(crate) struct IdleTimeouts {
+    /// Timeout for the first byte of an answer.
     pub(crate) first: IdleTimeout,
+    /// Timeout for each further byte.
     pub(crate) next: IdleTimeout,
 }
 
-impl Default for Paces {
+impl Default for IdleTimeouts {
     fn default() -> Self {
         Self {
             first: IdleTimeout::new(Wait::FirstByte),
@@ -53,7 +55,7 @@
     }
 }
 
-/// A request that waits for its start.
+/// A request that waits in the queue.
 #[derive(Debug)]
 struct Waiter {
     need: Need,
@@ -65,10 +67,13 @@
 struct State {
     addresses: HashMap<TargetName, SocketAddr>,
     admissions: BTreeMap<ServiceName, Admission>,
+    /// Retry budgets by workspace.
     budgets: BTreeMap<Workspace, RetryBudget>,
+    /// Retry budgets by target class.
     classes: BTreeMap<ClassName, RetryBudget>,
-    flying: HashMap<TargetId, Vec<u64>>,
-    paces: HashMap<TargetName, Paces>,
+    /// Fingerprints of the requests in flight, by target.
+    in_flight: HashMap<TargetId, Vec<u64>>,
+    idle_timeouts: HashMap<TargetName, IdleTimeouts>,
     targets: Targets,
     waiters: HashMap<RequestId, Waiter>,
 }
@@ -84,8 +89,8 @@
             admissions: BTreeMap::new(),
             budgets: BTreeMap::new(),
             classes: BTreeMap::new(),
-            flying: HashMap::new(),
-            paces: HashMap::new(),
+            in_flight: HashMap::new(),
+            idle_timeouts: HashMap::new(),
             targets: Targets::new(dc),
             waiters: HashMap::new(),
         }))
@@ -95,20 +100,17 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    // -----------------------------------------------------------------------
-    // What is known of targets
-
-    /// Takes the targets of a view.
-    pub(crate) fn learn(&self, view: &View) {
+    /// Updates the targets from a view.
+    pub(crate) fn update_targets(&self, view: &View) {
         let mut state = self.lock();
         let hosts = view.members.iter().filter(|member| !member.leaving);
         state.targets.set_hosts(hosts.count() as u32);
-        let known: Vec<TargetName> = state.targets.names().cloned().collect();
-        for name in known {
+        let known_names: Vec<TargetName> = state.targets.names().cloned().collect();
+        for name in known_names {
             if !view.targets.iter().any(|entry| entry.target == name) {
                 state.targets.remove(&name);
                 state.addresses.remove(&name);
-                state.paces.remove(&name);
+                state.idle_timeouts.remove(&name);
             }
         }
         for entry in &view.targets {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Takes load reports.
+    /// Updates the targets' loads and weights from reports.
     pub(crate) fn report(&self, loads: &[TargetLoad]) {
         let mut state = self.lock();
         for load in loads {
@@ -129,20 +131,23 @@
         }
     }
 
-    /// Returns the paces of a target's reads.
-    pub(crate) fn paces(&self, target: &TargetName) -> Paces {
-        self.lock().paces.get(target).cloned().unwrap_or_default()
+    /// Returns the idle timeouts of reads from a target.
+    pub(crate) fn idle_timeouts(&self, target: &TargetName) -> IdleTimeouts {
+        self.lock()
+            .idle_timeouts
+            .get(target)
+            .cloned()
+            .unwrap_or_default()
     }
 
-    /// Keeps the paces that a stream has shown.
-    pub(crate) fn set_paces(&self, target: &TargetName, paces: Paces) {
-        self.lock().paces.insert(target.clone(), paces);
+    /// Stores a target's idle timeouts after a read has updated them.
+    pub(crate) fn set_idle_timeouts(&self, target: &TargetName, idle_timeouts: IdleTimeouts) {
+        self.lock()
+            .idle_timeouts
+            .insert(target.clone(), idle_timeouts);
     }
 
-    // -----------------------------------------------------------------------
-    // Admission
-
-    /// Waits until a request may start and returns its target.
+    /// Queues a request until it may start, and returns its target.
     pub(crate) fn admit(&self, work: &Work, now: Millis) -> Result<Assignment, Refusal> {
         let (sender, answer) = mpsc::channel();
         let mut state = self.lock();
@@ -161,22 +166,22 @@
             share: work.share,
             workspace: work.caller.workspace.clone(),
         };
-        state.pump(&work.caller.service, AdmissionEvent::Arrive(ticket), now);
+        state.handle_event(&work.caller.service, AdmissionEvent::Arrive(ticket), now);
         drop(state);
-        let patience = (work.deadline - now).duration();
-        answer.recv_timeout(patience).unwrap_or_else(|_| {
+        let queue_timeout = (work.deadline - now).duration();
+        answer.recv_timeout(queue_timeout).unwrap_or_else(|_| {
             let mut state = self.lock();
             state.waiters.remove(&work.id);
             let withdrawn = AdmissionEvent::Withdraw(work.id);
-            state.pump(&work.caller.service, withdrawn, now);
-            // The start may have been decided while the lock was waited for.
+            state.handle_event(&work.caller.service, withdrawn, now);
+            // The request may have been started while this thread waited for the lock.
             answer
                 .try_recv()
                 .unwrap_or(Err(Reason::QueueExpired.into()))
         })
     }
 
-    /// Chooses another target for a request that was admitted before.
+    /// Assigns another target to a request that was admitted before.
     pub(crate) fn choose(&self, need: &Need, now: Millis) -> Result<Assignment, Reason> {
         let mut state = self.lock();
         match state.targets.choose(need, now) {
@@ -186,14 +191,14 @@
         }
     }
 
-    /// Ends a request that was admitted.
+    /// Ends an admitted request, which held its slot for `held`.
     pub(crate) fn finish(&self, work: &Work, held: Millis, now: Millis) {
         let workspace = work.caller.workspace.clone();
         let done = AdmissionEvent::Done { held, workspace };
-        self.lock().pump(&work.caller.service, done, now);
+        self.lock().handle_event(&work.caller.service, done, now);
     }
 
-    /// Looks at every queue again.
+    /// Starts or expires waiting requests in every queue.
     pub(crate) fn tick(&self, now: Millis) {
         let mut state = self.lock();
         let waiting: Vec<ServiceName> = state
@@ -203,14 +208,11 @@
             .map(|(service, _)| service.clone())
             .collect();
         for service in waiting {
-            state.pump(&service, AdmissionEvent::Tick, now);
+            state.handle_event(&service, AdmissionEvent::Tick, now);
         }
     }
 
-    // -----------------------------------------------------------------------
-    // Work on targets
-
-    /// Counts work on a target that was chosen by others than this.
+    /// Adds a sample that the rollouts placed on a target to the target's load.
     pub(crate) fn begin(&self, target: &TargetName) -> Option<TargetId> {
         let mut state = self.lock();
         let id = state.targets.find(target)?;
@@ -218,30 +220,34 @@
         Some(id)
     }
 
-    /// Counts work off a target.
+    /// Removes a request or sample from a target's load.
     pub(crate) fn end(&self, id: TargetId) {
         self.lock().targets.end(id);
     }
 
-    /// Counts a fingerprint off a target.
-    pub(crate) fn land(&self, id: TargetId, print: u64) {
+    /// Removes a request from those in flight on a target.
+    pub(crate) fn remove_in_flight(&self, id: TargetId, request_fingerprint: u64) {
         let mut state = self.lock();
-        if let Some(prints) = state.flying.get_mut(&id) {
-            if let Some(index) = prints.iter().position(|other| *other == print) {
-                prints.swap_remove(index);
+        if let Some(fingerprints) = state.in_flight.get_mut(&id) {
+            if let Some(index) = fingerprints
+                .iter()
+                .position(|other| *other == request_fingerprint)
+            {
+                fingerprints.swap_remove(index);
             }
-            if prints.is_empty() {
-                state.flying.remove(&id);
+            if fingerprints.is_empty() {
+                state.in_flight.remove(&id);
             }
         }
     }
 
     /// Returns the fingerprints of this entry's requests in flight on a target.
-    pub(crate) fn flying(&self, id: TargetId) -> Vec<u64> {
-        self.lock().flying.get(&id).cloned().unwrap_or_default()
+    pub(crate) fn in_flight(&self, id: TargetId) -> Vec<u64> {
+        self.lock().in_flight.get(&id).cloned().unwrap_or_default()
     }
 
-    /// Records how an attempt went.
+    /// Records the outcome of an attempt in the target's health and, on success, in the retry
+    /// budgets.
     pub(crate) fn record(&self, work: &Work, on: &Assignment, health: AttemptOutcome, now: Millis) {
         let mut state = self.lock();
         state.targets.record(on.id, health, now, &mut rand::rng());
@@ -255,7 +261,7 @@
         }
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides whether a request is retried after a failed attempt.
     pub(crate) fn fail(
         &self,
         work: &mut Work,
@@ -269,15 +275,15 @@
             budgets, classes, ..
         } = &mut *state;
         let workspace = work.caller.workspace.clone();
-        let both = [
+        let retry_budgets = [
             budgets.entry(workspace).or_default(),
             classes.entry(class.clone()).or_default(),
         ];
         work.attempts
-            .fail(reason, after, both, now, &mut rand::rng())
+            .fail(reason, after, retry_budgets, now, &mut rand::rng())
     }
 
-    /// Returns how much runs and waits, by service.
+    /// Returns the number of running and waiting requests by service.
     pub(crate) fn loads(&self) -> Loads {
         let state = self.lock();
         let load = |admission: &Admission| Load {
@@ -290,7 +296,7 @@
             .collect()
     }
 
-    /// Returns requests that run and wait, by service.
+    /// Returns the number of running and waiting requests by service, for operators.
     pub(crate) fn status(&self) -> serde_json::Value {
         let state = self.lock();
         let services = state.admissions.iter().map(|(service, admission)| {
@@ -305,8 +311,8 @@
 }
 
 impl State {
-    /// Carries an event through admission, and starts what may start as long as there is room.
-    fn pump(&mut self, service: &ServiceName, event: AdmissionEvent, now: Millis) {
+    /// Passes an event to admission, and starts requests as long as targets have room.
+    fn handle_event(&mut self, service: &ServiceName, event: AdmissionEvent, now: Millis) {
         let probe = Need {
             resumable: true,
             service: service.clone(),
@@ -319,7 +325,7 @@
             let admission = self.admissions.entry(service.clone()).or_default();
             for action in admission.decide(event, free, now) {
                 match action {
-                    AdmissionAction::Refuse(id, refusal) => self.tell(id, Err(refusal)),
+                    AdmissionAction::Refuse(id, refusal) => self.notify(id, Err(refusal)),
                     AdmissionAction::Start(id) => {
                         next = Some(self.start(id, room, now));
                     }
@@ -328,7 +334,7 @@
         }
     }
 
-    /// Gives a request its target, and returns the event that follows.
+    /// Assigns a target to an admitted request, and returns the next event for admission.
     fn start(&mut self, request: RequestId, room: Choice, now: Millis) -> AdmissionEvent {
         let Some(waiter) = self.waiters.get(&request) else {
             return AdmissionEvent::Tick;
@@ -342,9 +348,9 @@
             Choice::Target(id) => self.assign(id, &need),
             _ => None,
         };
-        let lost = assigned.is_none();
-        self.tell(request, assigned.ok_or(Reason::NoTarget.into()));
-        if lost {
+        let unassigned = assigned.is_none();
+        self.notify(request, assigned.ok_or(Reason::NoTarget.into()));
+        if unassigned {
             let held = Millis::ZERO;
             return AdmissionEvent::Done { held, workspace };
         }
@@ -356,7 +362,7 @@
         let (class, target) = (facts.class.clone(), facts.target.clone());
         let address = *self.addresses.get(&target)?;
         self.targets.begin(id);
-        self.flying.entry(id).or_default().push(need.fingerprint);
+        self.in_flight.entry(id).or_default().push(need.fingerprint);
         Some(Assignment {
             address,
             class,
@@ -365,12 +371,14 @@
         })
     }
 
-    fn tell(&mut self, request: RequestId, outcome: Result<Assignment, Refusal>) {
+    /// Wakes the thread of a waiting request. When that thread has given up, the target's load is
+    /// reduced again.
+    fn notify(&mut self, request: RequestId, outcome: Result<Assignment, Refusal>) {
         let Some(waiter) = self.waiters.remove(&request) else {
             return;
         };
-        if let Err(mpsc::SendError(Ok(lost))) = waiter.sender.send(outcome) {
-            self.targets.end(lost.id);
+        if let Err(mpsc::SendError(Ok(unassigned))) = waiter.sender.send(outcome) {
+            self.targets.end(unassigned.id);
         }
     }
 }
