--- a/crates/godwitspool-demo/src/caller.rs
+++ b/crates/godwitspool-demo/src/caller.rs
@@ -1,4 +1,4 @@
-//! Interactive callers.
+//! Interactive callers, which check the answers that they get.
 
 use std::{
     collections::BTreeMap,
@@ -18,150 +18,150 @@
 use godwitspool_version::{ServiceKind, ServiceRules};
 use rand::{Rng, seq::IndexedRandom};
 
-use crate::client::{BROKE_OFF, Client, Plain, PlainCall, Refusal, Reply, Tokens};
+use crate::client::{Client, ERROR_EVENT_PREFIX, PlainAnswer, PlainCall, Refusal, Reply, Tokens};
 
-const MOST_TOKENS: u32 = 48;
-const LEAST_TOKENS: u32 = 8;
-const LONG_TOKENS: u32 = 900;
-const TRIES: u32 = 4;
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
-const THINK_MS: std::ops::Range<u64> = 30..170;
-/// Progress of a stream is recorded at most this often.
-const PROGRESS_EVERY: Duration = Duration::from_millis(200);
+const MAX_TOKENS: u32 = 48;
+const MIN_TOKENS: u32 = 8;
+/// Tokens of an answer that takes longer than a withdrawn key may still work.
+const LONG_ANSWER_TOKENS: u32 = 900;
+const MAX_ATTEMPTS: u32 = 4;
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Pause of a caller between two requests, in milliseconds.
+const THINK_TIME_MS: std::ops::Range<u64> = 30..170;
+/// Minimum time between two recorded progress events of a stream.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A service as a workspace sees it.
+/// A service that a workspace can use.
 #[derive(Clone, Debug)]
-pub(crate) struct Named {
-    /// The workspace's name for it.
+pub(crate) struct WorkspaceService {
+    /// The workspace's name for the service.
     pub(crate) alias: String,
-    /// Whether it answers without a key.
+    /// Whether the service can be called without a key.
     pub(crate) open: bool,
-    /// Rules.
     pub(crate) rules: ServiceRules,
-    /// Qualified name.
+    /// Qualified name, which is the same for all workspaces.
     pub(crate) service: ServiceName,
 }
 
-/// Keys that the callers of a workspace hold.
+/// Keys that the callers of a workspace use.
 #[derive(Clone, Debug)]
 pub(crate) struct Keys {
     /// The newest key.
     pub(crate) current: Key,
-    /// A key that some callers still use.
+    /// The previous key while it is being withdrawn, which some callers still use.
     pub(crate) old: Option<Key>,
 }
 
-/// What callers of one workspace share.
+/// State that the callers and trainers of one workspace share.
 #[derive(Debug)]
 pub(crate) struct Session {
-    /// Hosts that the balancer sends to.
+    /// Hosts, from which each request takes a random one as with a load balancer.
     pub(crate) hosts: Vec<(HostName, SocketAddr)>,
-    /// Keys.
     pub(crate) keys: Mutex<Keys>,
-    /// What became of requests.
-    pub(crate) tally: Mutex<Tally>,
-    /// Services.
-    pub(crate) services: Vec<Named>,
-    /// Workspace.
+    /// Results of the callers' requests.
+    pub(crate) stats: Mutex<RequestStats>,
+    pub(crate) services: Vec<WorkspaceService>,
     pub(crate) workspace: Workspace,
 }
 
-/// What became of a workspace's requests.
+/// Results of a workspace's requests, after retries.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Tally {
-    /// Requests that broke off.
+pub(crate) struct RequestStats {
+    /// Requests with a failed connection or a wrong answer, by reason.
     pub(crate) failed: BTreeMap<String, u64>,
-    /// Times of whole answers, in milliseconds.
+    /// Latencies of whole answers, including retries, in milliseconds.
     pub(crate) ok_ms: Vec<u64>,
-    /// Requests that were refused, by reason.
+    /// Requests whose last attempt was refused, by reason.
     pub(crate) refused: BTreeMap<String, u64>,
 }
 
-/// A caller.
+/// A caller of a workspace.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub(crate) client: Client,
-    /// Whether it goes on with an old key.
+    /// Whether the caller uses the old key of the session while there is one.
     pub(crate) keeps_old_key: bool,
     pub(crate) recorder: Recorder,
     pub(crate) session: Arc<Session>,
 }
 
-/// What a caller asks.
-enum Asked {
+/// Content of a caller's request.
+enum Payload {
     Call { body: String, id: RequestId },
     Generation(Generate),
 }
 
-impl Asked {
+impl Payload {
     fn work(&self) -> Work {
         match self {
             Self::Call { id, .. } => Work::Call(*id),
-            Self::Generation(asked) => Work::Prompt(prompt_hash(&asked.messages, asked.seed)),
+            Self::Generation(generation) => {
+                Work::Prompt(prompt_hash(&generation.messages, generation.seed))
+            }
         }
     }
 }
 
-/// How one attempt ended.
-enum Ended {
+/// Result of one attempt.
+enum Attempt {
     Broken(String),
     Refused(Refusal),
     Whole,
 }
 
 impl Caller {
-    /// Asks until told to stop.
+    /// Sends requests to random services until `stop` is set.
     pub(crate) fn run(&self, stop: &AtomicBool) {
         let mut rng = rand::rng();
         while !stop.load(Ordering::Relaxed) {
             if let Some(service) = self.session.services.choose(&mut rng) {
-                self.ask(service, stop);
+                self.send_with_retries(service, stop);
             }
-            thread::sleep(Duration::from_millis(rng.random_range(THINK_MS)));
+            thread::sleep(Duration::from_millis(rng.random_range(THINK_TIME_MS)));
         }
     }
 
-    /// Asks once, and again where a refusal says that it did not run.
-    fn ask(&self, service: &Named, stop: &AtomicBool) {
+    /// Sends a request, and a new one after each refusal as not run, up to [`MAX_ATTEMPTS`] in all.
+    fn send_with_retries(&self, service: &WorkspaceService, stop: &AtomicBool) {
         let start = Instant::now();
         let mut last = None;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let (key, _) = self.key();
-            let ended = self.attempt(service, Some(&key), ask_text(&mut rand::rng()));
+            let result = self.attempt(service, Some(&key), random_prompt(&mut rand::rng()));
             let valid = self.is_current(&key);
-            match ended {
-                Ended::Whole => {
-                    let mut tally = lock(&self.session.tally);
-                    tally.ok_ms.push(start.elapsed().as_millis() as u64);
+            match result {
+                Attempt::Whole => {
+                    let mut stats = lock(&self.session.stats);
+                    stats.ok_ms.push(start.elapsed().as_millis() as u64);
                     return;
                 }
-                // A withdrawn key is to be refused.
-                Ended::Refused(refusal) if refusal.is_of_key() && !valid => return,
-                Ended::Broken(_) if !valid => return,
-                Ended::Refused(refusal) if refusal.ran == Ran::NotRun => last = Some(refusal),
-                Ended::Refused(refusal) => {
+                // Failures with a key that was replaced are expected and not counted.
+                Attempt::Refused(refusal) if refusal.is_key_refusal() && !valid => return,
+                Attempt::Broken(_) if !valid => return,
+                Attempt::Refused(refusal) if refusal.ran == Ran::NotRun => last = Some(refusal),
+                Attempt::Refused(refusal) => {
                     last = Some(refusal);
                     break;
                 }
-                Ended::Broken(reason) => {
-                    *lock(&self.session.tally).failed.entry(reason).or_default() += 1;
+                Attempt::Broken(reason) => {
+                    *lock(&self.session.stats).failed.entry(reason).or_default() += 1;
                     return;
                 }
             }
             if stop.load(Ordering::Relaxed) {
                 break;
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
         if let Some(refusal) = last {
-            *lock(&self.session.tally)
+            *lock(&self.session.stats)
                 .refused
                 .entry(refusal.reason)
                 .or_default() += 1;
         }
     }
 
-    /// Returns the key to show and whether it is one that should work.
+    /// Returns the key to send and whether it is the current key.
     fn key(&self) -> (Key, bool) {
         let keys = lock(&self.session.keys);
         match &keys.old {
@@ -170,20 +170,20 @@
         }
     }
 
-    /// Returns whether a key is not about to be withdrawn or withdrawn.
+    /// Returns whether a key is the current one, and so neither withdrawn nor about to be.
     fn is_current(&self, key: &Key) -> bool {
         lock(&self.session.keys).current.digest() == key.digest()
     }
 
-    /// Sends one request, checks the answer and records both.
-    fn attempt(&self, service: &Named, key: Option<&Key>, text: String) -> Ended {
-        let asked = asked(service, text);
-        self.send(service, key, &asked)
+    /// Sends a new request once, checks the answer and records both.
+    fn attempt(&self, service: &WorkspaceService, key: Option<&Key>, text: String) -> Attempt {
+        let payload = new_payload(service, text);
+        self.send(service, key, &payload)
     }
 
-    fn send(&self, service: &Named, key: Option<&Key>, asked: &Asked) -> Ended {
+    fn send(&self, service: &WorkspaceService, key: Option<&Key>, payload: &Payload) -> Attempt {
         let Some((host, address)) = self.session.hosts.choose(&mut rand::rng()) else {
-            return Ended::Broken("no host".to_owned());
+            return Attempt::Broken("no host".to_owned());
         };
         let request = RequestId::random();
         self.recorder.record(Event::Sent {
@@ -193,12 +193,12 @@
             repeatable: service.rules.idempotent,
             request,
             service: service.service.clone(),
-            work: asked.work(),
+            work: payload.work(),
             workspace: self.session.workspace.clone(),
         });
-        let (ended, event) = match self.exchange(service, key, asked, *address, request) {
+        let (result, event) = match self.exchange(service, key, payload, *address, request) {
             Reply::Complete(Answer::Whole) => (
-                Ended::Whole,
+                Attempt::Whole,
                 Event::Answered {
                     answer: Answer::Whole,
                     request,
@@ -206,51 +206,51 @@
             ),
             Reply::Complete(answer) => {
                 let reason = format!("{answer:?} answer");
-                (Ended::Broken(reason), Event::Answered { answer, request })
+                (Attempt::Broken(reason), Event::Answered { answer, request })
             }
             Reply::Refused(refusal) => {
-                let (key, ran) = (refusal.is_of_key(), refusal.ran);
+                let (key, ran) = (refusal.is_key_refusal(), refusal.ran);
                 (
-                    Ended::Refused(refusal),
+                    Attempt::Refused(refusal),
                     Event::Refused { key, ran, request },
                 )
             }
             Reply::Broken(reason) => {
-                if let Some(reason) = reason.strip_prefix(BROKE_OFF) {
+                if let Some(reason) = reason.strip_prefix(ERROR_EVENT_PREFIX) {
                     let reason = reason.to_owned();
                     self.recorder.record(Event::Explained { reason, request });
                 }
-                (Ended::Broken(reason), Event::Broken(request))
+                (Attempt::Broken(reason), Event::Broken(request))
             }
         };
         self.recorder.record(event);
-        ended
+        result
     }
 
     fn exchange(
         &self,
-        service: &Named,
+        service: &WorkspaceService,
         key: Option<&Key>,
-        asked: &Asked,
+        payload: &Payload,
         address: SocketAddr,
         request: RequestId,
     ) -> Reply<Answer> {
-        match asked {
-            Asked::Generation(asked) => {
+        match payload {
+            Payload::Generation(generation) => {
                 let mut recorded = Instant::now();
                 let progress = || {
-                    if recorded.elapsed() >= PROGRESS_EVERY {
+                    if recorded.elapsed() >= PROGRESS_INTERVAL {
                         recorded = Instant::now();
                         self.recorder.record(Event::Progress(request));
                     }
                 };
-                match self.client.generate(address, key, asked, progress) {
-                    Reply::Complete(tokens) => Reply::Complete(judge_tokens(asked, &tokens)),
+                match self.client.generate(address, key, generation, progress) {
+                    Reply::Complete(tokens) => Reply::Complete(check_tokens(generation, &tokens)),
                     Reply::Broken(reason) => Reply::Broken(reason),
                     Reply::Refused(refusal) => Reply::Refused(refusal),
                 }
             }
-            Asked::Call { body, id } => {
+            Payload::Call { body, id } => {
                 let path = format!("look-up?call={id}");
                 let call = PlainCall {
                     body: body.clone(),
@@ -258,7 +258,7 @@
                     service: &service.alias,
                 };
                 match self.client.call(address, key, &call) {
-                    Reply::Complete(plain) => Reply::Complete(judge_plain(body, *id, &plain)),
+                    Reply::Complete(plain) => Reply::Complete(check_plain(body, *id, &plain)),
                     Reply::Broken(reason) => Reply::Broken(reason),
                     Reply::Refused(refusal) => Reply::Refused(refusal),
                 }
@@ -266,59 +266,60 @@
         }
     }
 
-    // ---- Callers with a purpose ----
-
-    /// Sends requests that must not run, until told to stop: without a key and with wrong ones.
-    pub(crate) fn intrude(&self, stop: &AtomicBool, every: Duration) {
-        let mut wrong = [None, Some(Key::random()), Some(Key::from("gsk-"))]
+    /// Sends requests without a key and with invalid keys until `stop` is set. None of them may
+    /// run.
+    pub(crate) fn send_unauthorized(&self, stop: &AtomicBool, interval: Duration) {
+        let mut invalid_keys = [None, Some(Key::random()), Some(Key::from("gsk-"))]
             .into_iter()
             .cycle();
         while !stop.load(Ordering::Relaxed) {
             let services = self.session.services.iter().filter(|service| !service.open);
             let services = services.collect::<Vec<_>>();
-            if let (Some(service), Some(key)) = (services.choose(&mut rand::rng()), wrong.next()) {
-                self.attempt(service, key.as_ref(), ask_text(&mut rand::rng()));
+            if let (Some(service), Some(key)) =
+                (services.choose(&mut rand::rng()), invalid_keys.next())
+            {
+                self.attempt(service, key.as_ref(), random_prompt(&mut rand::rng()));
             }
-            thread::sleep(every);
+            thread::sleep(interval);
         }
     }
 
-    /// Asks for an answer that takes longer than a withdrawn key may work.
-    pub(crate) fn ask_long(&self, key: &Key) {
+    /// Requests an answer that takes longer than a withdrawn key may still work.
+    pub(crate) fn request_long_answer(&self, key: &Key) {
         let mut services = self.session.services.iter().filter(|service| !service.open);
         let engine = services.find(|service| service.rules.kind == ServiceKind::Engine);
         let Some(service) = engine else {
             return;
         };
-        let mut long = asked(service, ask_text(&mut rand::rng()));
-        if let Asked::Generation(asked) = &mut long {
-            asked.max_tokens = LONG_TOKENS;
+        let mut long = new_payload(service, random_prompt(&mut rand::rng()));
+        if let Payload::Generation(generation) = &mut long {
+            generation.max_tokens = LONG_ANSWER_TOKENS;
         }
         self.send(service, Some(key), &long);
     }
 
-    /// Sends a request that crashes each target that runs it, again and again.
-    pub(crate) fn poison(&self, times: u32, stop: &AtomicBool) {
+    /// Sends a request that crashes every target that runs it, `times` times.
+    pub(crate) fn send_poison(&self, times: u32, stop: &AtomicBool) {
         let mut services = self.session.services.iter();
         let engine = services.find(|service| service.rules.kind == ServiceKind::Engine);
         let Some(service) = engine else {
             return;
         };
-        let text = format!("poison-prompt {}", ask_text(&mut rand::rng()));
+        let text = format!("poison-prompt {}", random_prompt(&mut rand::rng()));
         for _ in 0..times {
             if stop.load(Ordering::Relaxed) {
                 return;
             }
             let (key, _) = self.key();
             self.attempt(service, Some(&key), text.clone());
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
     }
 }
 
-fn asked(service: &Named, text: String) -> Asked {
+fn new_payload(service: &WorkspaceService, text: String) -> Payload {
     if service.rules.kind == ServiceKind::Plain {
-        return Asked::Call {
+        return Payload::Call {
             body: text,
             id: RequestId::random(),
         };
@@ -332,8 +333,8 @@
         content,
         role: role.to_owned(),
     };
-    Asked::Generation(Generate {
-        max_tokens: rand::rng().random_range(LEAST_TOKENS..=MOST_TOKENS),
+    Payload::Generation(Generate {
+        max_tokens: rand::rng().random_range(MIN_TOKENS..=MAX_TOKENS),
         messages: vec![message("system", system), message("user", text)],
         model: service.alias.as_str().into(),
         seed: 1,
@@ -342,7 +343,7 @@
     })
 }
 
-fn ask_text(rng: &mut impl Rng) -> String {
+fn random_prompt(rng: &mut impl Rng) -> String {
     format!(
         "lining {:016x}{:016x}",
         rng.random::<u64>(),
@@ -350,18 +351,18 @@
     )
 }
 
-/// Compares tokens with those that the prompt must give.
-fn judge_tokens(asked: &Generate, got: &Tokens) -> Answer {
-    let prompt = prompt_hash(&asked.messages, asked.seed);
-    judge_answer(
+/// Compares tokens with those that the fake engine generates for the request.
+fn check_tokens(generation: &Generate, got: &Tokens) -> Answer {
+    let prompt = prompt_hash(&generation.messages, generation.seed);
+    check_answer(
         prompt,
-        asked.max_tokens,
+        generation.max_tokens,
         got.texts.iter().map(String::as_str),
     )
 }
 
-/// Compares tokens with those that a prompt's hash must give.
-pub(crate) fn judge_answer<'a>(
+/// Compares tokens with those that the fake engine generates for a prompt's hash.
+pub(crate) fn check_answer<'a>(
     prompt: u64,
     max_tokens: u32,
     got: impl ExactSizeIterator<Item = &'a str>,
@@ -378,12 +379,18 @@
     }
 }
 
-fn judge_plain(body: &str, id: RequestId, got: &Plain) -> Answer {
+/// Checks that the answer of a plain service contains the body and the id of its call.
+fn check_plain(body: &str, id: RequestId, got: &PlainAnswer) -> Answer {
     if serde_json::from_str::<serde_json::Value>(&got.body).is_err() {
         return Answer::Cut;
     }
-    let own = got.status == 200 && got.body.contains(body) && got.body.contains(&id.to_string());
-    if own { Answer::Whole } else { Answer::Foreign }
+    let matches =
+        got.status == 200 && got.body.contains(body) && got.body.contains(&id.to_string());
+    if matches {
+        Answer::Whole
+    } else {
+        Answer::Foreign
+    }
 }
 
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
--- a/crates/godwitspool-demo/src/client.rs
+++ b/crates/godwitspool-demo/src/client.rs
@@ -1,4 +1,4 @@
-//! The callers' side of the HTTP interface.
+//! HTTP client for callers and trainers.
 
 use std::{
     io::{BufRead, BufReader},
@@ -14,66 +14,66 @@
     http::{Request, Response},
 };
 
-/// Begins the reason of an answer that ended with an error event; the event's reason follows.
-pub(crate) const BROKE_OFF: &str = "the answer broke off: ";
+/// Prefix of the reason in [`Reply::Broken`] when a stream ended with an error event. The reason in
+/// the event follows.
+pub(crate) const ERROR_EVENT_PREFIX: &str = "stream ended with an error event: ";
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a whole request, including the answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What came of a request.
+/// Result of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply<T> {
-    /// The connection or the answer broke off.
+    /// The connection failed or the answer ended early, for this reason.
     Broken(String),
-    /// The answer was told to be complete.
+    /// The answer was received to its end. Its content is not checked yet.
     Complete(T),
-    /// The request was refused.
+    /// The system refused the request.
     Refused(Refusal),
 }
 
-/// A refusal.
+/// A refusal by the system.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     /// Machine-readable reason.
     pub(crate) reason: String,
-    /// Whether the request ran.
+    /// Whether the request ran, according to the system.
     pub(crate) ran: Ran,
-    /// HTTP status.
+    /// HTTP status, or 0 if no connection was opened.
     pub(crate) status: u16,
 }
 
 impl Refusal {
-    /// Returns whether the key was refused.
-    pub(crate) fn is_of_key(&self) -> bool {
+    /// Returns whether the request was refused because of its key.
+    pub(crate) fn is_key_refusal(&self) -> bool {
         matches!(self.status, 401 | 403)
     }
 }
 
-/// An answer of tokens.
+/// The answer to a generation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tokens {
-    /// Why the answer ended.
+    /// Finish reason, if the answer has one.
     pub(crate) finish: Option<Finish>,
-    /// The tokens.
+    /// Text of each token.
     pub(crate) texts: Vec<String>,
 }
 
-/// An answer of a plain service.
+/// The answer of a plain service.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Plain {
-    /// Body.
+pub(crate) struct PlainAnswer {
     pub(crate) body: String,
-    /// Status.
+    /// HTTP status.
     pub(crate) status: u16,
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct PlainCall<'a> {
-    /// Body.
     pub(crate) body: String,
-    /// Path and query, behind the service's name.
+    /// Path and query after the service's name.
     pub(crate) path: String,
-    /// Name of the service, as the workspace sees it.
+    /// The workspace's alias of the service.
     pub(crate) service: &'a str,
 }
 
@@ -88,7 +88,7 @@
     reason: String,
 }
 
-/// A client of the system's hosts.
+/// A client for the system's HTTP interface.
 #[derive(Clone, Debug)]
 pub(crate) struct Client {
     agent: Agent,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sends any request; the body of a refusal is read.
+    /// Sends a request. Reads the body of the response only if it is a refusal.
     pub(crate) fn send(
         &self,
         mut request: ureq::http::request::Builder,
@@ -122,25 +122,25 @@
             Err(error) => return Reply::Broken(error.to_string()),
         };
         match self.agent.run(request) {
-            Err(error) => unsent(&error),
-            Ok(response) => match refusal(response) {
+            Err(error) => classify_error(&error),
+            Ok(response) => match parse_refusal(response) {
                 Ok(response) => Reply::Complete(response),
                 Err(refused) => refused,
             },
         }
     }
 
-    /// Asks for a generation. `progress` is called at each token.
+    /// Requests a generation and reads the stream to its end. Calls `progress` for each event.
     pub(crate) fn generate(
         &self,
         host: SocketAddr,
         key: Option<&Key>,
-        asked: &Generate,
+        generation: &Generate,
         mut progress: impl FnMut(),
     ) -> Reply<Tokens> {
         let request = Request::post(format!("http://{host}/v1/chat/completions"))
             .header("content-type", "application/json");
-        let body = serde_json::to_vec(asked).unwrap_or_default();
+        let body = serde_json::to_vec(generation).unwrap_or_default();
         let response = match self.send(request, key, body) {
             Reply::Complete(response) => response,
             Reply::Broken(reason) => return Reply::Broken(reason),
@@ -159,20 +159,20 @@
                 return Reply::Complete(tokens);
             }
             progress();
-            if let Err(reply) = add(event, &mut tokens) {
+            if let Err(reply) = push_event(event, &mut tokens) {
                 return reply;
             }
         }
-        Reply::Broken("the answer ended without its end mark".to_owned())
+        Reply::Broken("stream ended without [DONE]".to_owned())
     }
 
-    /// Calls a plain service.
+    /// Sends a call to a plain service and reads the whole answer.
     pub(crate) fn call(
         &self,
         host: SocketAddr,
         key: Option<&Key>,
         call: &PlainCall<'_>,
-    ) -> Reply<Plain> {
+    ) -> Reply<PlainAnswer> {
         let url = format!("http://{host}/services/{}/{}", call.service, call.path);
         let sent = self.send(Request::post(url), key, call.body.clone().into_bytes());
         let mut response = match sent {
@@ -182,14 +182,14 @@
         };
         let status = response.status().as_u16();
         match response.body_mut().read_to_string() {
-            Ok(body) => Reply::Complete(Plain { body, status }),
+            Ok(body) => Reply::Complete(PlainAnswer { body, status }),
             Err(error) => Reply::Broken(error.to_string()),
         }
     }
 }
 
-/// A request that no connection was opened for has not run.
-fn unsent<T>(error: &ureq::Error) -> Reply<T> {
+/// Returns a refusal if no connection was opened, since the request can't have run.
+fn classify_error<T>(error: &ureq::Error) -> Reply<T> {
     let refused = match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound => true,
         ureq::Error::Io(error) => error.kind() == std::io::ErrorKind::ConnectionRefused,
@@ -206,8 +206,11 @@
     Reply::Broken(error.to_string())
 }
 
-/// Tells the system's own refusals from answers of services by the shape of their body.
-fn refusal<T>(mut response: Response<Body>) -> Result<Response<Body>, Reply<T>> {
+/// Returns responses with a status below 400, and converts others to a [`Reply`].
+///
+/// Refusals by the system are recognized by the JSON format of their body. Other error responses
+/// are [`Reply::Broken`].
+fn parse_refusal<T>(mut response: Response<Body>) -> Result<Response<Body>, Reply<T>> {
     let status = response.status().as_u16();
     if status < 400 {
         return Ok(response);
@@ -218,7 +221,7 @@
     };
     let Ok(parsed) = serde_json::from_str::<ErrorBody>(&body) else {
         return Err(Reply::Broken(format!(
-            "status {status} without a reason: {body}"
+            "status {status} without a machine-readable reason: {body}"
         )));
     };
     let ErrorFields { ran, reason } = parsed.error;
@@ -229,13 +232,15 @@
     }))
 }
 
-fn add(event: &str, tokens: &mut Tokens) -> Result<(), Reply<Tokens>> {
+/// Adds the tokens of a stream event. Returns [`Reply::Broken`] for an error event and for an event
+/// that can't be parsed.
+fn push_event(event: &str, tokens: &mut Tokens) -> Result<(), Reply<Tokens>> {
     if let Ok(error) = serde_json::from_str::<ErrorBody>(event) {
         let reason = error.error.reason;
-        return Err(Reply::Broken(format!("{BROKE_OFF}{reason}")));
+        return Err(Reply::Broken(format!("{ERROR_EVENT_PREFIX}{reason}")));
     }
     let chunk = serde_json::from_str::<Chunk>(event)
-        .map_err(|error| Reply::Broken(format!("{error} in {event:?}")))?;
+        .map_err(|error| Reply::Broken(format!("can't parse event {event:?}: {error}")))?;
     for choice in chunk.choices {
         if !choice.delta.content.is_empty() {
             tokens.texts.push(choice.delta.content);
--- a/crates/godwitspool-demo/src/collect.rs
+++ b/crates/godwitspool-demo/src/collect.rs
@@ -1,4 +1,4 @@
-//! Brings what the stand-ins recorded into the history.
+//! Adds the records of the fakes to the history.
 
 use std::{
     collections::HashMap,
@@ -13,11 +13,12 @@
 use godwitspool_history::{Answer, Event, Recorder, Span, Work};
 use godwitspool_types::RequestId;
 
-use crate::{caller::judge_answer, trainer::Delivery};
+use crate::{caller::check_answer, trainer::Delivery};
 
-/// Brings what the stand-ins recorded and the samples that trainers got into the history.
+/// Adds the records of the platform and its targets, and the samples that trainers received, to the
+/// history.
 pub(crate) fn collect(platform: &Platform, deliveries: &[Delivery], recorder: &Recorder) {
-    let prompts = prompts(platform);
+    let prompts = index_prompts(platform);
     for delivery in deliveries {
         add_delivery(delivery, &prompts, recorder);
     }
@@ -39,11 +40,11 @@
         .for_each(|record| add_platform(record, recorder));
 }
 
-/// Prompts with their seeds that engines got, by the hash of the prompt alone.
-type Prompts = HashMap<u64, Vec<u64>>;
+/// Hashes of prompt and seed that engines received, by the hash of the prompt alone.
+type PromptIndex = HashMap<u64, Vec<u64>>;
 
-fn prompts(platform: &Platform) -> Prompts {
-    let mut prompts = Prompts::new();
+fn index_prompts(platform: &Platform) -> PromptIndex {
+    let mut prompts = PromptIndex::new();
     for record in platform
         .engines()
         .iter()
@@ -53,28 +54,29 @@
             messages, prompt, ..
         } = record.event
         {
-            let seeds = prompts.entry(messages).or_default();
-            if !seeds.contains(&prompt) {
-                seeds.push(prompt);
+            let hashes = prompts.entry(messages).or_default();
+            if !hashes.contains(&prompt) {
+                hashes.push(prompt);
             }
         }
     }
     prompts
 }
 
-/// Finds which generation a sample holds by its first token.
-fn add_delivery(delivery: &Delivery, prompts: &Prompts, recorder: &Recorder) {
-    let seeds = prompts
+/// Records a sample. Its first token shows with which seed it was generated, since a trainer
+/// doesn't know the seeds.
+fn add_delivery(delivery: &Delivery, prompts: &PromptIndex, recorder: &Recorder) {
+    let hashes = prompts
         .get(&prompt_hash(&delivery.messages, 0))
         .map_or(&[][..], Vec::as_slice);
     let first = delivery.tokens.first();
-    let prompt = seeds
+    let prompt = hashes
         .iter()
         .find(|prompt| first == Some(&token(**prompt, 0)));
     let answer = match (prompt, first) {
         (Some(prompt), _) => {
             let tokens = delivery.tokens.iter().map(String::as_str);
-            judge_answer(*prompt, delivery.max_tokens, tokens)
+            check_answer(*prompt, delivery.max_tokens, tokens)
         }
         (None, Some(_)) => Answer::Foreign,
         (None, None) => Answer::Cut,
@@ -100,8 +102,8 @@
             let work = Work::Prompt(prompt);
             recorder.record_wall(at_ms, Event::Received { key, target, work });
         }
-        EngineEvent::KeySeen(place) => {
-            let (key, work) = (Some(place), Work::Call(RequestId(0)));
+        EngineEvent::KeySeen(location) => {
+            let (key, work) = (Some(location), Work::Call(RequestId(0)));
             recorder.record_wall(at_ms, Event::Received { key, target, work });
         }
         EngineEvent::Ended { prompt, spans, .. } => {
--- a/crates/godwitspool-demo/src/deployment.rs
+++ b/crates/godwitspool-demo/src/deployment.rs
@@ -1,4 +1,4 @@
-//! What the operators' folder says about the deployment to show.
+//! The deployment that an operators' folder describes.
 
 use std::{
     collections::BTreeMap,
@@ -12,24 +12,27 @@
 
 use crate::{DemoError, DemoOptions};
 
-/// Time after which a crashed target serves again, in milliseconds.
+/// Time until a crashed target serves again, in milliseconds.
 const RESTART_MS: u64 = 800;
-/// Longest start of a target in the demo, in milliseconds.
-const MOST_START_MS: u64 = 2_000;
-/// Time from the order to stop a target to its end, in milliseconds.
+/// Upper limit for the start time of a target, in milliseconds, whatever the folder configures.
+const MAX_START_MS: u64 = 2_000;
+/// Time from the order to stop a target until it stops, in milliseconds.
 const STOP_MS: u64 = 5_000;
 
-/// The deployment to show.
+/// The deployment that the demo runs.
 #[derive(Clone, Debug)]
 pub(crate) struct Deployment {
-    /// What the folder says.
+    /// Configuration loaded from the folder.
     pub(crate) configuration: Configuration,
-    /// Key of each workspace.
+    /// Key of each workspace whose example key is valid.
     pub(crate) keys: BTreeMap<Workspace, Key>,
 }
 
 impl Deployment {
     /// Loads the folder.
+    ///
+    /// The key of workspace `a/b` is `gsk-example-a-b`. Workspaces that don't accept this key are
+    /// left out of [`Self::keys`].
     pub(crate) fn load(options: &DemoOptions) -> Result<Self, DemoError> {
         let folder =
             folder::load(&options.folder).map_err(|findings| DemoError::Folder { findings })?;
@@ -54,33 +57,33 @@
         })
     }
 
-    /// Returns the data centres.
     pub(crate) fn dcs(&self) -> Vec<Dc> {
         self.configuration.dcs.keys().cloned().collect()
     }
 
-    /// Returns the rules of a service.
     pub(crate) fn service(&self, service: &ServiceName) -> Option<&ServiceRules> {
         self.configuration.services.get(service)
     }
 
-    /// Returns whether a class can be reclaimed.
-    pub(crate) fn is_cheap(&self, class: &ClassName) -> bool {
+    /// Returns whether the platform can reclaim the targets of a class.
+    pub(crate) fn is_reclaimable(&self, class: &ClassName) -> bool {
         self.configuration
             .classes
             .get(class)
             .is_some_and(|rules| rules.reclaimable)
     }
 
-    /// Returns the first weight version of a model.
+    /// Returns the configured weight version of a model, `v1` by default.
     pub(crate) fn weights(&self, model: &ModelName) -> WeightVersion {
         let version = self.configuration.weights.get(model).cloned();
         version.unwrap_or_else(|| WeightVersion::from("v1"))
     }
 
-    /// Returns the classes as the platform offers them, each data centre at its floor and with one
-    /// target of each class that can be reclaimed. The address is
-    /// the demo's own, since a target that is down gives its port up.
+    /// Returns the classes that the platform offers.
+    ///
+    /// Each data centre starts with its floor of targets, and with one target of each reclaimable
+    /// class. Targets listen on `address`, which must be used by this demo only: a target that is
+    /// down releases its port, and another process could take it.
     pub(crate) fn classes(&self, address: IpAddr) -> Vec<ClassOptions> {
         let listen = SocketAddr::new(address, 0);
         let classes = self
@@ -101,16 +104,17 @@
                         ..PlainOptions::default()
                     }),
                 };
-                let bounds =
-                    |of: fn(&godwitspool_version::DcRules) -> &BTreeMap<ClassName, u32>| {
+                let per_dc =
+                    |limits: fn(&godwitspool_version::DcRules) -> &BTreeMap<ClassName, u32>| {
                         let dcs = self.configuration.dcs.iter();
-                        dcs.filter_map(|(dc, rules)| Some((dc.clone(), *of(rules).get(class)?)))
+                        dcs.filter_map(|(dc, rules)| Some((dc.clone(), *limits(rules).get(class)?)))
                             .collect::<BTreeMap<_, _>>()
                     };
-                let available = bounds(|rules| &rules.ceiling);
-                let mut initial = bounds(|rules| &rules.floor);
+                let available = per_dc(|rules| &rules.ceiling);
+                let mut initial = per_dc(|rules| &rules.floor);
                 if rules.reclaimable {
-                    // One runs in each data centre from the start, so that it can be reclaimed.
+                    // One target runs in each data centre from the start, so that a reclaim fault
+                    // has a target.
                     initial.extend(available.keys().map(|dc| (dc.clone(), 1)));
                 }
                 Some(ClassOptions {
@@ -122,7 +126,7 @@
                     reclaimable: rules.reclaimable,
                     restart_ms: RESTART_MS,
                     service: rules.service.clone(),
-                    start_ms: rules.start_ms.min(MOST_START_MS),
+                    start_ms: rules.start_ms.min(MAX_START_MS),
                     stop_ms: STOP_MS,
                 })
             });
--- a/crates/godwitspool-demo/src/error.rs
+++ b/crates/godwitspool-demo/src/error.rs
@@ -1,48 +1,48 @@
-//! Why a demo can't run.
+//! Errors of a demo run.
 
 use std::{io, path::PathBuf};
 
 use godwitspool_process::Findings;
 use snafu::Snafu;
 
-/// Why a demo can't run.
+/// An error that prevents or ends a demo run.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DemoError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{source}"))]
     Arguments {
-        /// Cause.
+        /// Error of the argument parser.
         source: lexopt::Error,
     },
-    /// The folder has findings.
+    /// The operators' folder is invalid.
     #[snafu(display("{findings}"))]
     Folder {
-        /// The findings.
+        /// Everything that is wrong with the folder.
         findings: Findings,
     },
-    /// A part can't be started.
-    #[snafu(display("{part}: {source}"))]
+    /// A component can't start.
+    #[snafu(display("can't start {component}: {source}"))]
     Start {
-        /// The part.
-        part: &'static str,
-        /// Cause.
+        /// Name of the component, such as `entry` or `platform`.
+        component: &'static str,
+        /// I/O error of the start, such as an address in use.
         source: io::Error,
     },
-    /// The system did not get ready in time.
-    #[snafu(display("not ready after {waited_ms} ms: {part}"))]
+    /// The system was not ready in time.
+    #[snafu(display("{component} not ready after {waited_ms} ms"))]
     NotReady {
-        /// What was waited for.
-        part: String,
-        /// Time waited.
+        /// Host or service that was not ready.
+        component: String,
+        /// Time that the demo waited, in milliseconds.
         waited_ms: u64,
     },
-    /// A result can't be written.
-    #[snafu(display("{}: {source}", path.display()))]
+    /// The history or the figures can't be written.
+    #[snafu(display("can't write {}: {source}", path.display()))]
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Error of creating or writing the file.
         source: io::Error,
     },
 }
--- a/crates/godwitspool-demo/src/fault.rs
+++ b/crates/godwitspool-demo/src/fault.rs
@@ -1,47 +1,49 @@
-//! Faults and their seeded schedule.
+//! Kinds of faults and their seeded schedule.
 
 use std::{fmt, str::FromStr};
 
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::SliceRandom};
 use serde::Serialize;
 
-/// Faults are brought about from this share of the run on, in permille.
-const FIRST_PERMILLE: u64 = 150;
-/// No fault begins after this share of the run, in permille.
-const LAST_PERMILLE: u64 = 750;
-/// Average time between two faults, in milliseconds.
-const SPACING_MS: u64 = 900;
+/// Share of the run before the first fault, in permille.
+const FIRST_FAULT_PERMILLE: u64 = 150;
+/// Share of the run after which no fault starts, in permille.
+const LAST_FAULT_PERMILLE: u64 = 750;
+/// Average time between the starts of two faults, in milliseconds. It is shorter in runs that would
+/// otherwise not have a fault of every kind.
+const MEAN_SPACING_MS: u64 = 900;
 
-/// Kinds of faults.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// An engine drops all its connections and serves again later.
+    /// An engine and a plain service close all connections and restart after a delay.
     EngineCrash,
     /// An entry is shut down gracefully and started again.
     HostRestart,
-    /// A key is withdrawn from callers that are connected.
+    /// The key of a workspace is withdrawn while callers use it.
     KeyWithdrawal,
-    /// The log refuses all calls for a while.
+    /// The platform's log refuses all calls for a while.
     LogOutage,
-    /// Answers of the platform are lost after they took effect.
+    /// The platform and a plain service process requests, but their answers are lost or cut.
     LostAnswer,
-    /// A data centre is cut off from the platform and from the others for a while.
+    /// A data centre is partitioned from the platform and from the other data centres for a while.
     Partition,
-    /// Answers to the holder of the orders lease are held up beyond its term and then delivered.
+    /// The platform's answers to the data centre of the orders lease holder are delayed beyond the
+    /// lease term.
     PausedHolder,
-    /// A caller sends a request that crashes each target that runs it, and sends it again.
+    /// A caller repeatedly sends a request that crashes every target that runs it.
     Poison,
-    /// The reclaimable targets of a data centre are taken away with short notice.
+    /// The platform reclaims the reclaimable targets of a data centre on short notice.
     Reclaim,
-    /// Open connections of an engine go silent for good.
+    /// The open connections of an engine and of a plain service stop carrying data, but stay open.
     StreamSilence,
-    /// Weight swaps fail, come late or report falsely for a while.
+    /// Weight swaps of some engines fail, are delayed, or falsely report success for a while.
     SwapFailure,
 }
 
 impl FaultKind {
-    /// Every kind.
+    /// All kinds, in alphabetical order.
     pub const ALL: [Self; 11] = [
         Self::EngineCrash,
         Self::HostRestart,
@@ -56,7 +58,7 @@
         Self::SwapFailure,
     ];
 
-    /// Returns the name on the command line.
+    /// Returns the kind's name on the command line.
     ///
     /// ```
     /// use godwitspool_demo::FaultKind;
@@ -80,8 +82,10 @@
         }
     }
 
-    /// Returns the shortest and longest time that the fault lasts, in milliseconds.
-    fn lasting_ms(self) -> (u64, u64) {
+    /// Returns the shortest and longest duration of a fault, in milliseconds.
+    ///
+    /// The kinds without a range here don't use the duration.
+    fn duration_range_ms(self) -> (u64, u64) {
         match self {
             Self::LogOutage => (1_000, 3_000),
             Self::Partition => (1_500, 3_500),
@@ -105,27 +109,27 @@
         let found = Self::ALL.into_iter().find(|kind| kind.as_str() == text);
         found.ok_or_else(|| {
             let names = Self::ALL.map(Self::as_str).join(", ");
-            format!("{text:?} is none of {names}, all")
+            format!("unknown fault {text:?}; expected one of {names}, or all")
         })
     }
 }
 
-/// A fault that is planned.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// Time from the start of the run, in milliseconds.
+    /// Time from the start of the run to the start of the fault, in milliseconds.
     pub at_ms: u64,
-    /// Kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Time that it lasts, in milliseconds.
-    pub lasting_ms: u64,
-    /// Decides which engine, data centre or key it meets.
+    /// Duration of the fault, in milliseconds; used only by kinds that last for a while.
+    pub duration_ms: u64,
+    /// Random number that selects the engine, plain service, host or workspace.
     pub pick: u64,
 }
 
-/// Plans faults of these kinds over a run. The same seed gives the same plan.
+/// Returns a schedule of faults of these kinds over a run of `run_ms`, ordered by start time.
 ///
-/// Every kind comes at least once, as far as the run is long enough.
+/// The same seed gives the same schedule. Every kind is scheduled at least once.
 ///
 /// ```
 /// use godwitspool_demo::{FaultKind, plan};
@@ -138,19 +142,19 @@
         return Vec::new();
     }
     let mut rng = StdRng::seed_from_u64(seed);
-    let first = run_ms * FIRST_PERMILLE / 1_000;
-    let last = (run_ms * LAST_PERMILLE / 1_000).max(first + 1);
-    let count = ((last - first) / SPACING_MS).max(1) as usize;
+    let first = run_ms * FIRST_FAULT_PERMILLE / 1_000;
+    let last = (run_ms * LAST_FAULT_PERMILLE / 1_000).max(first + 1);
+    let count = ((last - first) / MEAN_SPACING_MS).max(1) as usize;
     let mut faults = Vec::new();
     while faults.len() < count.max(kinds.len()) {
         let mut round = kinds.to_vec();
         round.shuffle(&mut rng);
         for kind in round {
-            let (shortest, longest) = kind.lasting_ms();
+            let (shortest, longest) = kind.duration_range_ms();
             faults.push(Fault {
                 at_ms: rng.random_range(first..last),
                 kind,
-                lasting_ms: rng.random_range(shortest..=longest),
+                duration_ms: rng.random_range(shortest..=longest),
                 pick: rng.random(),
             });
         }
--- a/crates/godwitspool-demo/src/figures.rs
+++ b/crates/godwitspool-demo/src/figures.rs
@@ -13,82 +13,83 @@
 
 use crate::{
     DemoOptions,
-    caller::{Session, Tally, lock},
+    caller::{RequestStats, Session, lock},
     deployment::Deployment,
-    trainer::Trained,
+    trainer::TrainerResult,
 };
 
-const MOST_MS: u64 = 600_000;
+/// Largest latency that the histograms distinguish; longer ones count as this.
+const MAX_LATENCY_MS: u64 = 600_000;
 
-/// The figures of a run. Counts of broken promises come from the checker alone.
+/// The figures of a run. Counts of broken promises come from the checks of the history only.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
     /// Seed of the fault schedule.
     pub seed: u64,
-    /// Kinds of faults.
+    /// Names of the kinds of faults that were injected.
     pub faults: Vec<String>,
-    /// Time for which callers and trainers worked.
+    /// Time that callers and trainers ran, in seconds.
     pub seconds: u64,
     /// Interactive requests that got a whole answer.
     pub interactive_ok: u64,
-    /// Interactive requests that were refused to the last.
+    /// Interactive requests whose last attempt was refused.
     pub interactive_refused: u64,
-    /// Interactive requests that broke off.
+    /// Interactive requests with a failed connection or a wrong answer.
     pub interactive_failed: u64,
-    /// Median time of whole answers.
+    /// Median latency of whole answers, in milliseconds.
     pub interactive_p50_ms: u64,
-    /// 99th percentile of the time of whole answers.
+    /// 99th percentile of the latency of whole answers, in milliseconds.
     pub interactive_p99_ms: u64,
-    /// Refusals by reason.
+    /// [`Self::interactive_refused`] by reason.
     pub refused_by_reason: BTreeMap<String, u64>,
-    /// Failures by reason.
+    /// [`Self::interactive_failed`] by reason.
     pub failed_by_reason: BTreeMap<String, u64>,
-    /// Share of whole answers of the workspace that fared worst.
+    /// Lowest share of whole answers among all workspaces, from 0 to 1.
     pub worst_workspace_ok_ratio: f64,
-    /// 99th percentile of the workspace with the highest.
+    /// Highest 99th percentile of latency among all workspaces, in milliseconds.
     pub worst_workspace_p99_ms: u64,
-    /// Steps whose whole batch a trainer got.
+    /// Steps of which a trainer fetched the whole batch.
     pub steps_complete: u64,
-    /// Samples that trainers got.
+    /// Samples that trainers received in whole batches.
     pub samples_delivered: u64,
-    /// Samples that were missing, changed or came twice.
+    /// Samples that were missing, changed or delivered twice.
     pub samples_duplicate: u64,
-    /// Samples older than the bound.
+    /// Samples older than the trainer's staleness bound.
     pub samples_stale: u64,
-    /// Samples that name wrong versions.
+    /// Samples that name other weight versions than those that produced them.
     pub samples_wrong_version: u64,
-    /// Share of their time that trainers waited for a batch.
+    /// Share of their time that trainers spent fetching batches, from 0 to 1.
     pub trainer_idle_ratio: f64,
-    /// Time paid for, over all targets.
+    /// Billed time of all targets, in seconds.
     pub target_seconds: f64,
-    /// Share of that time on reclaimable targets.
+    /// Share of [`Self::target_seconds`] on reclaimable targets, from 0 to 1.
     pub cheap_target_ratio: f64,
-    /// Target orders that the platform got.
+    /// Target orders that the platform received.
     pub orders_sent: u64,
-    /// Orders of two processes in charge at once.
+    /// Violations in which two processes sent target orders at the same time.
     pub orders_conflicting: u64,
     /// Usage windows that were reported.
     pub windows_reported: u64,
-    /// Windows with differing figures or holders.
+    /// Usage windows that were reported with different figures or by two lease holders.
     pub windows_conflicting: u64,
-    /// Whole answers of workspaces that no window bills.
+    /// Answered requests that no usage window bills.
     pub usage_lost_requests: u64,
-    /// Requests with a key that targets saw.
+    /// Requests in which a target saw a caller's key.
     pub keys_seen_by_targets: u64,
-    /// Requests that worked or ran with a withdrawn or unfit key.
+    /// Requests that ran or were answered with a withdrawn, invalid or missing key.
     pub requests_after_withdrawal: u64,
-    /// Answers told to be complete that were cut or another's.
+    /// Answers that ended as complete but were truncated or belong to another request.
     pub answers_truncated: u64,
     /// Non-idempotent requests that ran more than once.
     pub non_idempotent_repeated: u64,
-    /// Requests refused as not run that a target got.
+    /// Requests refused as not run that a target received.
     pub not_run_but_ran: u64,
-    /// Broken promises, by promise.
+    /// Number of violations, by promise.
     pub violations: BTreeMap<String, u64>,
 }
 
 impl Figures {
-    /// Works the figures out.
+    /// Computes the figures that the callers' results, the history and the violations give.
     pub(crate) fn new(
         options: &DemoOptions,
         sessions: &[impl AsRef<Session>],
@@ -111,34 +112,34 @@
         let mut all = histogram();
         self.worst_workspace_ok_ratio = 1.0;
         for session in sessions {
-            let tally = lock(&session.as_ref().tally).clone();
+            let stats = lock(&session.as_ref().stats).clone();
             let mut own = histogram();
-            for ms in &tally.ok_ms {
+            for ms in &stats.ok_ms {
                 all.saturating_record(*ms);
                 own.saturating_record(*ms);
             }
-            let ok = tally.ok_ms.len() as u64;
-            let asked = ok + total(&tally.refused) + total(&tally.failed);
+            let ok = stats.ok_ms.len() as u64;
+            let asked = ok + total(&stats.refused) + total(&stats.failed);
             if asked > 0 {
                 let ratio = ok as f64 / asked as f64;
                 self.worst_workspace_ok_ratio = self.worst_workspace_ok_ratio.min(ratio);
             }
             let p99 = own.value_at_quantile(0.99);
             self.worst_workspace_p99_ms = self.worst_workspace_p99_ms.max(p99);
-            self.add_tally(ok, &tally);
+            self.add_stats(ok, &stats);
         }
         self.interactive_p50_ms = all.value_at_quantile(0.5);
         self.interactive_p99_ms = all.value_at_quantile(0.99);
     }
 
-    fn add_tally(&mut self, ok: u64, tally: &Tally) {
+    fn add_stats(&mut self, ok: u64, stats: &RequestStats) {
         self.interactive_ok += ok;
-        self.interactive_refused += total(&tally.refused);
-        self.interactive_failed += total(&tally.failed);
-        for (reason, count) in &tally.refused {
+        self.interactive_refused += total(&stats.refused);
+        self.interactive_failed += total(&stats.failed);
+        for (reason, count) in &stats.refused {
             *self.refused_by_reason.entry(reason.clone()).or_default() += count;
         }
-        for (reason, count) in &tally.failed {
+        for (reason, count) in &stats.failed {
             *self.failed_by_reason.entry(reason.clone()).or_default() += count;
         }
     }
@@ -183,27 +184,24 @@
         }
     }
 
-    /// Adds how long trainers waited.
-    pub(crate) fn count_trainers(&mut self, trained: &[Trained]) {
-        let idle = trained.iter().map(|trained| trained.idle).sum::<Duration>();
-        let total = trained
-            .iter()
-            .map(|trained| trained.total)
-            .sum::<Duration>();
+    /// Adds the share of time that trainers were idle.
+    pub(crate) fn count_trainers(&mut self, results: &[TrainerResult]) {
+        let idle = results.iter().map(|result| result.idle).sum::<Duration>();
+        let total = results.iter().map(|result| result.total).sum::<Duration>();
         self.trainer_idle_ratio = idle.as_secs_f64() / total.as_secs_f64().max(f64::MIN_POSITIVE);
     }
 
-    /// Adds what the platform was paid for.
+    /// Adds the billed time of targets.
     pub(crate) fn count_targets(&mut self, platform: &Platform, deployment: &Deployment) {
-        let (mut all_ms, mut cheap_ms) = (0, 0);
+        let (mut all_ms, mut reclaimable_ms) = (0, 0);
         for (class, ms) in platform.target_ms() {
             all_ms += ms;
-            if deployment.is_cheap(&class) {
-                cheap_ms += ms;
+            if deployment.is_reclaimable(&class) {
+                reclaimable_ms += ms;
             }
         }
         self.target_seconds = all_ms as f64 / 1_000.0;
-        self.cheap_target_ratio = cheap_ms as f64 / (all_ms as f64).max(1.0);
+        self.cheap_target_ratio = reclaimable_ms as f64 / (all_ms as f64).max(1.0);
     }
 
     /// Returns whether no promise was broken.
@@ -212,8 +210,11 @@
     }
 }
 
-/// Counts the answers of workspaces that no window bills.
-pub(crate) fn unbilled(platform: &Platform, answered: &BTreeMap<Workspace, u64>) -> u64 {
+/// Counts the answered requests that no stored usage window bills.
+///
+/// The difference is taken for each workspace, so one workspace's surplus can't cover another's
+/// lack.
+pub(crate) fn count_unbilled(platform: &Platform, answered: &BTreeMap<Workspace, u64>) -> u64 {
     let mut windows = BTreeMap::new();
     for record in platform.history() {
         if let PlatformEvent::Usage {
@@ -239,6 +240,6 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MOST_MS, 3)
+    Histogram::new_with_bounds(1, MAX_LATENCY_MS, 3)
         .unwrap_or_else(|error| unreachable!("the bounds of the histogram are constants: {error}"))
 }
--- a/crates/godwitspool-demo/src/inject.rs
+++ b/crates/godwitspool-demo/src/inject.rs
@@ -1,4 +1,4 @@
-//! Brings faults about.
+//! Fault injection.
 
 use std::{
     sync::{
@@ -23,20 +23,23 @@
     system::System,
 };
 
+/// Answers of the platform that one fault loses.
 const LOST_ANSWERS: u32 = 3;
-const POISON_TIMES: u32 = 6;
+/// Requests that one fault sends.
+const POISON_REQUESTS: u32 = 6;
+/// Time between the notice and the end of reclaimed targets.
 const RECLAIM_NOTICE_MS: u64 = 2_500;
-/// Time between the issue of a new key and the withdrawal of the old one.
+/// Time from the issue of a new key until callers switch to it and the old one is withdrawn.
 const KEY_OVERLAP: Duration = Duration::from_secs(2);
-/// Time between a long request and the withdrawal of its key.
+/// Time between the start of a long request and the withdrawal of its key.
 const LONG_ANSWER_LEAD: Duration = Duration::from_millis(300);
-/// Time for which some callers go on with a withdrawn key.
-const OLD_KEY_KEPT: Duration = Duration::from_secs(6);
-/// Time for which a plain service loses its answers.
-const PLAIN_FAULT: Duration = Duration::from_millis(400);
-const POLL: Duration = Duration::from_millis(20);
+/// Time that some callers keep using a withdrawn key.
+const OLD_KEY_RETENTION: Duration = Duration::from_secs(6);
+/// Time that a plain service loses or cuts its answers.
+const PLAIN_FAULT_DURATION: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Brings faults about.
+/// Injects faults into a running system.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Injector<'a> {
     pub(crate) operator: &'a Operator,
@@ -47,7 +50,7 @@
 }
 
 impl Injector<'_> {
-    /// Brings each fault about at its time, and ends it.
+    /// Injects each fault at its time and ends it after its duration. Faults may overlap.
     pub(crate) fn run(&self, faults: &[Fault], start: Instant) {
         thread::scope(|scope| {
             for fault in faults {
@@ -56,13 +59,13 @@
                     return;
                 }
                 self.recorder.record(Event::Fault(fault.kind.to_string()));
-                scope.spawn(move || self.bring_about(*fault));
+                scope.spawn(move || self.inject(*fault));
             }
         });
     }
 
-    fn bring_about(&self, fault: Fault) {
-        let lasting = Duration::from_millis(fault.lasting_ms);
+    fn inject(&self, fault: Fault) {
+        let duration = Duration::from_millis(fault.duration_ms);
         match fault.kind {
             FaultKind::EngineCrash => {
                 self.with_engine(fault.pick, Engine::crash);
@@ -70,62 +73,65 @@
             }
             FaultKind::HostRestart => self.restart_host(fault.pick),
             FaultKind::KeyWithdrawal => self.withdraw_key(fault.pick),
-            FaultKind::LogOutage => self.log_outage(lasting),
+            FaultKind::LogOutage => self.log_outage(duration),
             FaultKind::LostAnswer => {
                 self.system.platform.lose_answers(LOST_ANSWERS);
                 self.lose_plain_answers(fault.pick);
             }
-            FaultKind::Partition => self.partition(fault.pick, lasting),
-            FaultKind::PausedHolder => self.pause_holder(lasting),
+            FaultKind::Partition => self.partition(fault.pick, duration),
+            FaultKind::PausedHolder => self.pause_lease_holder(duration),
             FaultKind::Poison => self.poison(fault.pick),
             FaultKind::Reclaim => {
-                let dc = &self.host(fault.pick).place.dc;
+                let dc = &self.host(fault.pick).config.dc;
                 drop(self.system.platform.reclaim(dc, RECLAIM_NOTICE_MS));
             }
             FaultKind::StreamSilence => {
                 self.with_engine(fault.pick, Engine::silence);
                 self.with_plain(fault.pick, |service| service.relay().silence());
             }
-            FaultKind::SwapFailure => self.fail_swaps(fault.pick, lasting),
+            FaultKind::SwapFailure => self.fail_swaps(fault.pick, duration),
         }
     }
 
-    fn log_outage(&self, lasting: Duration) {
+    fn log_outage(&self, duration: Duration) {
         self.recorder.record(Event::CutOff(None));
         self.system.platform.set_outage(true);
-        self.wait_until(Instant::now() + lasting);
+        self.wait_until(Instant::now() + duration);
         self.system.platform.set_outage(false);
         self.recorder.record(Event::Rejoined(None));
     }
 
-    fn partition(&self, pick: u64, lasting: Duration) {
-        let dc = &self.host(pick).place.dc;
+    fn partition(&self, pick: u64, duration: Duration) {
+        let dc = &self.host(pick).config.dc;
         self.recorder.record(Event::CutOff(Some(dc.clone())));
         self.system.set_partition(dc, true);
-        self.wait_until(Instant::now() + lasting);
+        self.wait_until(Instant::now() + duration);
         self.system.set_partition(dc, false);
         self.recorder.record(Event::Rejoined(Some(dc.clone())));
     }
 
-    fn pause_holder(&self, lasting: Duration) {
-        let Some(dc) = self.holder_dc() else {
+    fn pause_lease_holder(&self, duration: Duration) {
+        let Some(dc) = self.lease_holder_dc() else {
             return;
         };
         self.recorder.record(Event::CutOff(Some(dc.clone())));
         self.system.platform.set_view_held(&dc, true);
-        self.wait_until(Instant::now() + lasting);
+        self.wait_until(Instant::now() + duration);
         self.system.platform.set_view_held(&dc, false);
         self.recorder.record(Event::Rejoined(Some(dc)));
     }
 
-    /// Finds the data centre of the host that claimed the orders lease last.
-    fn holder_dc(&self) -> Option<Dc> {
+    /// Returns the data centre of the host in the last lease record for orders in the log.
+    fn lease_holder_dc(&self) -> Option<Dc> {
         let log = self.system.platform.log(Offset(0));
-        let holder = log.iter().rev().find_map(|record| holder(&record.body))?;
+        let holder = log
+            .iter()
+            .rev()
+            .find_map(|record| orders_lease_holder(&record.body))?;
         let mut hosts = self.system.hosts.iter();
         hosts
-            .find(|host| host.place.host == holder)
-            .map(|host| host.place.dc.clone())
+            .find(|host| host.config.host == holder)
+            .map(|host| host.config.dc.clone())
     }
 
     fn withdraw_key(&self, pick: u64) {
@@ -143,10 +149,10 @@
         thread::scope(|scope| {
             let caller = self.caller(session);
             let old = &old;
-            scope.spawn(move || caller.ask_long(old));
+            scope.spawn(move || caller.request_long_answer(old));
             self.wait_until(Instant::now() + LONG_ANSWER_LEAD);
             if self.operator.withdraw(old) {
-                self.wait_until(Instant::now() + OLD_KEY_KEPT);
+                self.wait_until(Instant::now() + OLD_KEY_RETENTION);
             }
         });
         lock(&session.keys).old = None;
@@ -154,28 +160,30 @@
 
     fn poison(&self, pick: u64) {
         let caller = self.caller(self.session(pick));
-        caller.poison(POISON_TIMES, self.stop);
+        caller.send_poison(POISON_REQUESTS, self.stop);
     }
 
     fn restart_host(&self, pick: u64) {
         let host = self.host(pick);
         self.recorder
-            .record(Event::Stopping(host.place.host.clone()));
+            .record(Event::Stopping(host.config.host.clone()));
         if let Err(error) = host.restart_entry() {
-            log::error!(host:% = host.place.host; "entry is not started again: {error}");
+            log::error!(host:% = host.config.host; "entry failed to restart: {error}");
         }
         self.recorder
-            .record(Event::Started(host.place.host.clone()));
+            .record(Event::Started(host.config.host.clone()));
     }
 
-    fn fail_swaps(&self, pick: u64, lasting: Duration) {
+    /// Gives about half of the running engines one of three swap faults, from a start that `pick`
+    /// decides.
+    fn fail_swaps(&self, pick: u64, duration: Duration) {
         let faults = [SwapFault::Fails, SwapFault::FalseSuccess, SwapFault::Late];
         let engines = self.system.platform.running_engines();
         for (index, engine) in engines.iter().enumerate() {
             let fault = faults.get((pick as usize + index) % (2 * faults.len()));
             engine.set_swap_fault(fault.copied().unwrap_or_default());
         }
-        self.wait_until(Instant::now() + lasting);
+        self.wait_until(Instant::now() + duration);
         for engine in engines {
             engine.set_swap_fault(SwapFault::None);
         }
@@ -195,7 +203,7 @@
         }
     }
 
-    /// Lets calls of one plain service run without their answers, or with half of them.
+    /// Lets a plain service process calls while their answers are lost or cut off halfway.
     fn lose_plain_answers(&self, pick: u64) {
         let fault = if pick.is_multiple_of(2) {
             PlainFault::Cut
@@ -204,7 +212,7 @@
         };
         self.with_plain(pick / 2, |service| {
             service.set_fault(fault);
-            self.wait_until(Instant::now() + PLAIN_FAULT);
+            self.wait_until(Instant::now() + PLAIN_FAULT_DURATION);
             service.set_fault(PlainFault::None);
         });
     }
@@ -226,14 +234,16 @@
         &self.sessions[pick as usize % self.sessions.len()]
     }
 
-    fn wait_until(&self, end: Instant) {
-        while Instant::now() < end && !self.stop.load(Ordering::Relaxed) {
-            thread::sleep(POLL);
+    /// Sleeps until the deadline, or until the run is stopped.
+    fn wait_until(&self, deadline: Instant) {
+        while Instant::now() < deadline && !self.stop.load(Ordering::Relaxed) {
+            thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-fn holder(body: &str) -> Option<HostName> {
+/// Returns the holder if a log record is a lease record for orders.
+fn orders_lease_holder(body: &str) -> Option<HostName> {
     match Record::decode(body).ok()?.body {
         RecordBody::Lease(lease) if lease.lease == LeaseKind::Orders => Some(lease.holder.host),
         _ => None,
--- a/crates/godwitspool-demo/src/lib.rs
+++ b/crates/godwitspool-demo/src/lib.rs
@@ -1,8 +1,9 @@
-//! The whole system and its stand-ins in one process, over real sockets.
+//! Runs the whole system and the fakes around it in one process, over real sockets.
 //!
-//! [`run`] starts a host of the system in each data centre of a folder, the platform with its
-//! targets, callers and trainers, brings about faults by a seeded schedule and checks what both ends
-//! observed. `cargo run --release --bin godwitspool-demo` is the command.
+//! [`run`] starts a host in each data centre of an operators' folder, a fake platform with its
+//! targets, callers and trainers. It injects faults on a seeded schedule, records what callers,
+//! trainers, targets and the platform observe, and checks the recorded history against the
+//! system's promises. The command is `cargo run --release --bin godwitspool-demo`.
 //!
 //! ```
 //! use godwitspool_demo::{FaultKind, plan};
--- a/crates/godwitspool-demo/src/main.rs
+++ b/crates/godwitspool-demo/src/main.rs
@@ -1,4 +1,4 @@
-//! `godwitspool-demo`: the whole system at work in one process.
+//! `godwitspool-demo`: runs the whole system in one process.
 
 use std::{fs::File, io::BufWriter, path::Path, process::ExitCode};
 
@@ -7,21 +7,21 @@
 const USAGE: &str = "\
 godwitspool-demo [FOLDER] [--seconds N] [--seed N] [--faults LIST] [--json FILE] [--history FILE]
 
-Runs the deployment of an operators' folder (examples/habimana) in one process: an entry and a
-steward in each data centre, the platform with its targets, callers and trainers.
+Runs the deployment of an operators' folder (default: examples/habimana) in one process: an entry
+and a steward in each data centre, a fake platform with its targets, callers and trainers.
 
   --faults LIST   all, none, or some of engine-crash, host-restart, key-withdrawal, log-outage,
                   lost-answer, partition, paused-holder, poison, reclaim, stream-silence,
-                  swap-failure, with commas between
-  --history FILE  what was observed, one JSON object a line
-  --json FILE     the figures
-  --quiet         show nothing while it runs
-  --seconds N     time for which callers and trainers work (15)
-  --seed N        seed of the fault schedule (1)
+                  swap-failure, separated by commas
+  --history FILE  write the observed events to FILE, one JSON object per line
+  --json FILE     write the figures to FILE as JSON
+  --quiet         print no progress during the run
+  --seconds N     how long callers and trainers run, in seconds (default: 15)
+  --seed N        seed of the fault schedule (default: 1)
   --help
   --version
 
-Ends with status 1 when a promise was broken, and shows the lines of the history that say so.";
+Exits with status 1 if a promise was broken, and prints the lines of the history that show it.";
 
 fn main() -> ExitCode {
     let options = match Command::parse(std::env::args_os().skip(1)) {
@@ -39,7 +39,7 @@
             return ExitCode::from(2);
         }
     };
-    match show(&options) {
+    match run_demo(&options) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error @ DemoError::Folder { .. }) => {
@@ -54,7 +54,7 @@
 }
 
 /// Runs the demo and returns whether all promises were kept.
-fn show(options: &DemoOptions) -> Result<bool, DemoError> {
+fn run_demo(options: &DemoOptions) -> Result<bool, DemoError> {
     let faults = options
         .faults
         .iter()
@@ -82,10 +82,10 @@
     if let Some(path) = &options.history {
         write(path, |file| outcome.history.write(file))?;
     }
-    Ok(is_kept(&outcome))
+    Ok(has_no_violations(&outcome))
 }
 
-fn is_kept(outcome: &Outcome) -> bool {
+fn has_no_violations(outcome: &Outcome) -> bool {
     outcome.violations.is_empty()
 }
 
@@ -93,8 +93,8 @@
     path: &Path,
     write: impl FnOnce(BufWriter<File>) -> std::io::Result<()>,
 ) -> Result<(), DemoError> {
-    let written = File::create(path).and_then(|file| write(BufWriter::new(file)));
-    written.map_err(|source| DemoError::Write {
+    let result = File::create(path).and_then(|file| write(BufWriter::new(file)));
+    result.map_err(|source| DemoError::Write {
         path: path.to_owned(),
         source,
     })
--- a/crates/godwitspool-demo/src/operator.rs
+++ b/crates/godwitspool-demo/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operators: they publish the folder, issue and withdraw keys, and name new weights.
+//! The operator, which publishes the folder, issues and withdraws keys, and publishes new weight
+//! versions.
 
 use std::{
     collections::BTreeMap,
@@ -15,44 +16,46 @@
 
 use crate::{caller::lock, deployment::Deployment};
 
-const APPEND_BOUND: Duration = Duration::from_secs(20);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const APPEND_TIMEOUT: Duration = Duration::from_secs(20);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 const PAGE_RECORDS: usize = 1_000;
 
-/// The operators of the fleet.
+/// The operator of the fleet. Each change is recorded in the history.
 #[derive(Debug)]
 pub(crate) struct Operator {
-    last: Mutex<Last>,
+    last_published: Mutex<LastPublished>,
     platform: Platform,
     recorder: Recorder,
 }
 
-/// What was published last.
+/// The last configuration that was published.
 #[derive(Debug)]
-struct Last {
+struct LastPublished {
+    /// Offset of its record in the log.
     base: Option<Offset>,
     configuration: Configuration,
+    /// Number of the newest weight version of each model.
     versions: BTreeMap<ModelName, u64>,
 }
 
 impl Operator {
     pub(crate) fn new(platform: SocketAddr, recorder: Recorder) -> Self {
-        let last = Last {
+        let last = LastPublished {
             base: None,
             configuration: Configuration::default(),
             versions: BTreeMap::new(),
         };
         let platform = Platform::new(format!("http://{platform}"));
         Self {
-            last: Mutex::new(last),
+            last_published: Mutex::new(last),
             platform,
             recorder,
         }
     }
 
-    /// Publishes the folder.
+    /// Publishes the folder's configuration. Returns whether the log accepted it.
     pub(crate) fn publish(&self, deployment: &Deployment) -> bool {
-        let published = self.change(|configuration| {
+        let published = self.publish_change(|configuration| {
             *configuration = deployment.configuration.clone();
         });
         if published {
@@ -67,25 +70,25 @@
         published
     }
 
-    /// Names the next version of a model's weights.
-    pub(crate) fn next_weights(&self, model: &ModelName) -> bool {
+    /// Publishes the next weight version of a model. Returns whether the log accepted it.
+    pub(crate) fn publish_next_weights(&self, model: &ModelName) -> bool {
         let version = {
-            let mut last = lock(&self.last);
+            let mut last = lock(&self.last_published);
             let number = last.versions.entry(model.clone()).or_insert(1);
             *number += 1;
             WeightVersion::from(format!("v{number}"))
         };
-        let named = self.change(|configuration| {
+        let accepted = self.publish_change(|configuration| {
             configuration.weights.insert(model.clone(), version.clone());
         });
-        if named {
-            let configuration = lock(&self.last).configuration.clone();
+        if accepted {
+            let configuration = lock(&self.last_published).configuration.clone();
             self.record_weights(&configuration, model, &version);
         }
-        named
+        accepted
     }
 
-    /// Issues a key.
+    /// Issues a random key for a workspace. Returns `None` if the log did not accept it.
     pub(crate) fn issue(&self, workspace: &Workspace) -> Option<Key> {
         let key = Key::random();
         let digest = key.digest();
@@ -102,7 +105,7 @@
         Some(key)
     }
 
-    /// Withdraws a key.
+    /// Withdraws a key. Returns whether the log accepted the withdrawal.
     pub(crate) fn withdraw(&self, key: &Key) -> bool {
         let digest = key.digest();
         self.recorder.record(Event::Withdrawing(digest));
@@ -114,10 +117,11 @@
         withdrawn
     }
 
-    fn change(&self, change: impl FnOnce(&mut Configuration)) -> bool {
-        let mut last = lock(&self.last);
+    /// Publishes the difference that `edit` makes to the last configuration.
+    fn publish_change(&self, edit: impl FnOnce(&mut Configuration)) -> bool {
+        let mut last = lock(&self.last_published);
         let mut configuration = last.configuration.clone();
-        change(&mut configuration);
+        edit(&mut configuration);
         let change = ConfigurationChange::between(&last.configuration, &configuration);
         let operator = "demo".to_owned();
         let publish = Publish {
@@ -133,26 +137,29 @@
         true
     }
 
-    /// Appends until the record is known to stand in the log.
+    /// Appends a record, and retries until the log contains it or [`APPEND_TIMEOUT`] has passed.
+    ///
+    /// After an error that leaves the outcome unknown, it looks for the record in the log before it
+    /// retries, to avoid appending the record twice.
     fn append(&self, record: &Record) -> Option<Offset> {
         let body = record.encode();
         let start = Instant::now();
-        while start.elapsed() < APPEND_BOUND {
+        while start.elapsed() < APPEND_TIMEOUT {
             match self.platform.append(std::slice::from_ref(&body)) {
                 Ok(appended) => return Some(appended.first),
                 Err(error) if error.ran() == Ran::NotRun => {}
                 Err(_) => {
-                    if let Some(offset) = self.find(&body) {
+                    if let Some(offset) = self.find_record(&body) {
                         return Some(offset);
                     }
                 }
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
         None
     }
 
-    fn find(&self, body: &str) -> Option<Offset> {
+    fn find_record(&self, body: &str) -> Option<Offset> {
         let mut from = Offset(0);
         loop {
             let page = self.platform.read(from, PAGE_RECORDS).ok()?;
--- a/crates/godwitspool-demo/src/options.rs
+++ b/crates/godwitspool-demo/src/options.rs
@@ -10,7 +10,7 @@
 const DEFAULT_FOLDER: &str = "examples/habimana";
 const DEFAULT_SECONDS: u64 = 15;
 
-/// What to run.
+/// Options of a demo run.
 ///
 /// ```
 /// use godwitspool_demo::DemoOptions;
@@ -20,19 +20,19 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
-    /// Kinds of faults.
+    /// Kinds of faults to inject; none by default.
     pub faults: Vec<FaultKind>,
-    /// Operators' folder.
+    /// Operators' folder to deploy, `examples/habimana` by default.
     pub folder: PathBuf,
-    /// File for the history, one JSON object a line.
+    /// File that the command writes the history to, one JSON object per line; `None` writes none.
     pub history: Option<PathBuf>,
-    /// File for the figures as JSON.
+    /// File that the command writes the figures to, as JSON; `None` writes none.
     pub json: Option<PathBuf>,
-    /// Whether nothing is shown while it runs.
+    /// Whether the command prints no progress lines; `false` by default.
     pub quiet: bool,
-    /// Time for which callers and trainers work.
+    /// Time that callers and trainers run, in seconds; 15 by default.
     pub seconds: u64,
-    /// Seed of the fault schedule.
+    /// Seed of the fault schedule; 1 by default.
     pub seed: u64,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl DemoOptions {
-    /// Sets the kinds of faults.
+    /// Sets the kinds of faults to inject.
     pub fn with_faults(mut self, faults: impl Into<Vec<FaultKind>>) -> Self {
         self.faults = faults.into();
         self
@@ -63,7 +63,7 @@
         self
     }
 
-    /// Sets the time for which callers and trainers work.
+    /// Sets the time that callers and trainers run, in seconds.
     pub fn with_seconds(mut self, seconds: u64) -> Self {
         self.seconds = seconds;
         self
@@ -76,19 +76,19 @@
     }
 }
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Show the usage.
+    /// Print the usage text.
     Help,
-    /// Run the demo.
+    /// Run the demo with these options.
     Run(DemoOptions),
-    /// Show the version.
+    /// Print the version.
     Version,
 }
 
 impl Command {
-    /// Reads the command line, without the program's name.
+    /// Parses command line arguments, which don't include the program's name.
     ///
     /// ```
     /// use godwitspool_demo::Command;
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the command line.
+    /// Returns [`DemoError::Arguments`] for an unknown option or an invalid value.
     pub fn parse(
         arguments: impl IntoIterator<Item = impl Into<OsString>>,
     ) -> Result<Self, DemoError> {
--- a/crates/godwitspool-demo/src/run.rs
+++ b/crates/godwitspool-demo/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a demo from start to check.
+//! Runs the demo and checks its history.
 
 use std::{
     collections::BTreeMap,
@@ -16,37 +16,39 @@
 
 use crate::{
     DemoError, DemoOptions, Figures,
-    caller::{Caller, Keys, Named, Session, Tally, lock},
+    caller::{Caller, Keys, RequestStats, Session, WorkspaceService, lock},
     client::Client,
     collect::collect,
     deployment::Deployment,
-    figures::unbilled,
+    figures::count_unbilled,
     inject::Injector,
     operator::Operator,
     plan,
     system::System,
     table::Table,
-    trainer::{Trained, Trainer},
+    trainer::{Trainer, TrainerResult},
 };
 
-const PROGRESS_EVERY: Duration = Duration::from_secs(1);
-const WEIGHTS_EVERY: Duration = Duration::from_secs(5);
-const INTRUDE_EVERY: Duration = Duration::from_millis(250);
-const USAGE_BOUND: Duration = Duration::from_secs(10);
-const POLL: Duration = Duration::from_millis(50);
-/// Broken promises of one kind that are shown with their lines.
-const SHOWN_VIOLATIONS: usize = 3;
-/// Most callers of one workspace.
-const MOST_CALLERS: u32 = 6;
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
+const WEIGHTS_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between requests without a valid key.
+const UNAUTHORIZED_INTERVAL: Duration = Duration::from_millis(250);
+/// Time that usage reports may take to bill all answers after the run.
+const USAGE_REPORT_TIMEOUT: Duration = Duration::from_secs(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of violations of one promise that are printed with their lines.
+const MAX_SHOWN_VIOLATIONS: usize = 3;
+/// Maximum number of callers of one workspace.
+const MAX_CALLERS: u32 = 6;
 
-/// What a run came to.
+/// Result of a demo run. Its `Display` output is a table of the figures and the first violations.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The figures.
+    /// Figures computed from the history and from the callers' and trainers' results.
     pub figures: Figures,
-    /// The history.
+    /// Everything that callers, trainers, targets, the platform and operators observed.
     pub history: History,
-    /// Broken promises.
+    /// Broken promises with the history lines that show them; empty if all were kept.
     pub violations: Vec<Violation>,
 }
 
@@ -57,7 +59,7 @@
         for violation in &self.violations {
             let shown = shown.entry(violation.promise).or_default();
             *shown += 1;
-            if *shown <= SHOWN_VIOLATIONS {
+            if *shown <= MAX_SHOWN_VIOLATIONS {
                 write!(f, "\n{violation}\n")?;
             }
         }
@@ -65,7 +67,7 @@
     }
 }
 
-/// Runs the demo. `progress` is given a line every second.
+/// Runs the demo. Calls `progress` with a status line every second.
 ///
 /// ```no_run
 /// use godwitspool_demo::{DemoOptions, run};
@@ -77,19 +79,23 @@
 ///
 /// # Errors
 ///
-/// The folder has findings, or a part can't be started.
+/// Returns [`DemoError::Folder`] if the folder is invalid, [`DemoError::Start`] if a component
+/// can't start, and [`DemoError::NotReady`] if the log or a host is not ready in time.
 pub fn run(options: &DemoOptions, progress: impl Fn(String) + Sync) -> Result<Outcome, DemoError> {
     let deployment = Deployment::load(options)?;
     let system = System::start(&deployment)?;
     let recorder = Recorder::start();
     let operator = Operator::new(system.platform.address(), recorder.clone());
     if !operator.publish(&deployment) {
-        let part = "the platform's log".to_owned();
-        return Err(DemoError::NotReady { part, waited_ms: 0 });
+        let component = "the platform's log".to_owned();
+        return Err(DemoError::NotReady {
+            component,
+            waited_ms: 0,
+        });
     }
     system.wait_ready()?;
     let sessions = sessions(&deployment, &system);
-    let trained = work(
+    let trainer_results = run_workload(
         options,
         &deployment,
         &system,
@@ -98,17 +104,17 @@
         &sessions,
         &progress,
     );
-    let answered = answered(&recorder.history());
-    let lost = wait_billed(&system, &answered);
-    let deliveries = trained
+    let answered = count_answers(&recorder.history());
+    let lost = wait_for_billing(&system, &answered);
+    let deliveries = trainer_results
         .iter()
-        .flat_map(|trained| trained.deliveries.iter().cloned());
+        .flat_map(|result| result.deliveries.iter().cloned());
     collect(&system.platform, &deliveries.collect::<Vec<_>>(), &recorder);
     let history = recorder.history();
     let violations = check(&history, &Bounds::default());
     let mut figures = Figures::new(options, &sessions, &history, &violations);
     figures.count_targets(&system.platform, &deployment);
-    figures.count_trainers(&trained);
+    figures.count_trainers(&trainer_results);
     figures.usage_lost_requests = lost;
     system.stop();
     Ok(Outcome {
@@ -118,8 +124,8 @@
     })
 }
 
-/// Lets callers and trainers work while faults are brought about.
-fn work(
+/// Runs callers, trainers and the fault injector for the time in the options.
+fn run_workload(
     options: &DemoOptions,
     deployment: &Deployment,
     system: &System,
@@ -127,7 +133,7 @@
     operator: &Operator,
     sessions: &[Arc<Session>],
     progress: &(impl Fn(String) + Sync),
-) -> Vec<Trained> {
+) -> Vec<TrainerResult> {
     let stop = AtomicBool::new(false);
     let start = Instant::now();
     let run_ms = options.seconds * 1_000;
@@ -144,10 +150,10 @@
             let stop = &stop;
             scope.spawn(move || caller.run(stop));
         }
-        let intruder = caller(recorder, &sessions[0], false);
+        let unauthorized_caller = caller(recorder, &sessions[0], false);
         let stop = &stop;
-        scope.spawn(move || intruder.intrude(stop, INTRUDE_EVERY));
-        scope.spawn(|| name_weights(deployment, operator, stop));
+        scope.spawn(move || unauthorized_caller.send_unauthorized(stop, UNAUTHORIZED_INTERVAL));
+        scope.spawn(|| publish_weights(deployment, operator, stop));
         scope.spawn(|| injector.run(&faults, start));
         let trainers = trainers(deployment, recorder, sessions);
         let trainers = trainers
@@ -155,7 +161,7 @@
             .map(|trainer| scope.spawn(move || trainer.run(stop)));
         let trainers = trainers.collect::<Vec<_>>();
         while start.elapsed() < Duration::from_secs(options.seconds) {
-            thread::sleep(PROGRESS_EVERY);
+            thread::sleep(PROGRESS_INTERVAL);
             progress(progress_line(start, sessions, recorder));
         }
         stop.store(true, Ordering::Relaxed);
@@ -170,13 +176,13 @@
     let hosts = system
         .hosts
         .iter()
-        .map(|host| (host.place.host.clone(), host.place.callers()));
+        .map(|host| (host.config.host.clone(), host.config.callers_address()));
     let hosts = hosts.collect::<Vec<_>>();
     let configuration = &deployment.configuration;
     let sessions = deployment.keys.iter().filter_map(|(workspace, key)| {
         let rules = configuration.workspaces.get(workspace)?;
         let services = rules.services.iter().filter_map(|(alias, reference)| {
-            Some(Named {
+            Some(WorkspaceService {
                 alias: alias.to_string(),
                 open: configuration.open_routes.contains(&reference.service),
                 rules: deployment.service(&reference.service)?.clone(),
@@ -190,19 +196,20 @@
                 old: None,
             }),
             services: services.collect(),
-            tally: Mutex::new(Tally::default()),
+            stats: Mutex::new(RequestStats::default()),
             workspace: workspace.clone(),
         }))
     });
     sessions.collect()
 }
 
-/// Makes callers for each workspace, by its share.
+/// Creates as many callers for each workspace as its share, from 1 to [`MAX_CALLERS`]. Every second
+/// one uses an old key while there is one.
 fn callers(deployment: &Deployment, recorder: &Recorder, sessions: &[Arc<Session>]) -> Vec<Caller> {
     let mut callers = Vec::new();
     for session in sessions {
         let rules = deployment.configuration.workspaces.get(&session.workspace);
-        let count = rules.map_or(1, |rules| rules.share).clamp(1, MOST_CALLERS);
+        let count = rules.map_or(1, |rules| rules.share).clamp(1, MAX_CALLERS);
         for index in 0..count {
             callers.push(caller(recorder, session, index % 2 == 1));
         }
@@ -241,14 +248,15 @@
     trainers.collect()
 }
 
-fn name_weights(deployment: &Deployment, operator: &Operator, stop: &AtomicBool) {
+/// Publishes a new weight version of each model at a fixed interval until `stop` is set.
+fn publish_weights(deployment: &Deployment, operator: &Operator, stop: &AtomicBool) {
     let mut last = Instant::now();
     while !stop.load(Ordering::Relaxed) {
-        thread::sleep(POLL);
-        if last.elapsed() >= WEIGHTS_EVERY {
+        thread::sleep(POLL_INTERVAL);
+        if last.elapsed() >= WEIGHTS_INTERVAL {
             last = Instant::now();
             for model in deployment.configuration.weights.keys() {
-                operator.next_weights(model);
+                operator.publish_next_weights(model);
             }
         }
     }
@@ -257,10 +265,10 @@
 fn progress_line(start: Instant, sessions: &[Arc<Session>], recorder: &Recorder) -> String {
     let (mut ok, mut refused, mut failed) = (0, 0, 0);
     for session in sessions {
-        let tally = lock(&session.tally);
-        ok += tally.ok_ms.len();
-        refused += tally.refused.values().sum::<u64>();
-        failed += tally.failed.values().sum::<u64>();
+        let stats = lock(&session.stats);
+        ok += stats.ok_ms.len();
+        refused += stats.refused.values().sum::<u64>();
+        failed += stats.failed.values().sum::<u64>();
     }
     let fault = recorder.last_fault().unwrap_or_default();
     let seconds = start.elapsed().as_secs();
@@ -270,8 +278,8 @@
     )
 }
 
-/// Counts whole answers by workspace, but for open routes, which nobody pays for.
-fn answered(history: &History) -> BTreeMap<Workspace, u64> {
+/// Counts answered requests by workspace, except those on open routes, which are not billed.
+fn count_answers(history: &History) -> BTreeMap<Workspace, u64> {
     let mut payers = BTreeMap::new();
     let mut answered = BTreeMap::new();
     for line in history.lines() {
@@ -295,14 +303,15 @@
     answered
 }
 
-/// Waits until usage reports bill all answers, within a bound; returns how many they don't.
-fn wait_billed(system: &System, answered: &BTreeMap<Workspace, u64>) -> u64 {
+/// Waits until usage reports bill all answers or [`USAGE_REPORT_TIMEOUT`] has passed. Returns the
+/// number of unbilled answers.
+fn wait_for_billing(system: &System, answered: &BTreeMap<Workspace, u64>) -> u64 {
     let start = Instant::now();
     loop {
-        let lost = unbilled(&system.platform, answered);
-        if lost == 0 || start.elapsed() > USAGE_BOUND {
+        let lost = count_unbilled(&system.platform, answered);
+        if lost == 0 || start.elapsed() > USAGE_REPORT_TIMEOUT {
             return lost;
         }
-        thread::sleep(POLL);
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/godwitspool-demo/src/system.rs
+++ b/crates/godwitspool-demo/src/system.rs
@@ -14,15 +14,17 @@
     DemoError,
     deployment::Deployment,
     error::StartSnafu,
-    host::{Host, Place},
+    host::{Host, HostConfig},
 };
 
-const READY_BOUND: Duration = Duration::from_secs(20);
-const READY_POLL: Duration = Duration::from_millis(20);
-/// Addresses of one host and of its links on the demo's own network.
-const LINK_STRIDE: usize = 16;
-/// Address of all targets on the demo's own network.
-const TARGETS: usize = 250;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Addresses reserved for the links from one host. The link from host `m` to host `n` has the
+/// address index `(m + 1) * LINK_ADDRESS_STRIDE + n`; hosts have the indices from 1 on.
+const LINK_ADDRESS_STRIDE: usize = 16;
+/// Index of the address that all targets share.
+const TARGET_ADDRESS_INDEX: usize = 250;
+/// Delay until readers of the platform's host and target lists see a change.
 const LIST_LAG_MS: u64 = 400;
 
 /// The hosts of the system, the platform and the network between them.
@@ -31,11 +33,11 @@
     /// One host for each data centre.
     pub(crate) hosts: Vec<Host>,
     links: Vec<Link>,
-    /// The platform.
+    /// The fake platform, which also runs the targets.
     pub(crate) platform: Platform,
 }
 
-/// What one data centre's host sends to another's.
+/// Relays for the traffic from one data centre's host to another's.
 #[derive(Debug)]
 struct Link {
     from: Dc,
@@ -45,43 +47,48 @@
 }
 
 impl System {
-    /// Starts everything and waits for nothing.
+    /// Starts the platform and the hosts without waiting until they are ready.
+    ///
+    /// Each data centre gets its own view of the host list, in which the addresses of the other
+    /// hosts are those of the links to them.
     pub(crate) fn start(deployment: &Deployment) -> Result<Self, DemoError> {
         let network = Network::random();
         let options = PlatformOptions {
-            classes: deployment.classes(network.address(TARGETS)),
+            classes: deployment.classes(network.address(TARGET_ADDRESS_INDEX)),
             lag_ms: LIST_LAG_MS,
             ..PlatformOptions::default()
         };
-        let platform = Platform::start(options).context(StartSnafu { part: "platform" })?;
+        let platform = Platform::start(options).context(StartSnafu {
+            component: "platform",
+        })?;
         let dcs = deployment.dcs();
-        let mut places = Vec::new();
+        let mut configs = Vec::new();
         for (index, dc) in dcs.iter().enumerate() {
             let view = platform
                 .open_view(dc, Vec::new())
-                .context(StartSnafu { part: "view" })?;
+                .context(StartSnafu { component: "view" })?;
             let host = HostName::from(format!("{dc}-1"));
             let address = network.address(index + 1);
-            places.push(Place {
+            configs.push(HostConfig {
                 address,
                 dc: dc.clone(),
                 host,
                 platform: view,
             });
         }
-        let links = network.links(&places)?;
-        for (from, place) in places.iter().enumerate() {
-            let listed = places.iter().enumerate().map(|(to, other)| {
+        let links = network.links(&configs)?;
+        for (from, config) in configs.iter().enumerate() {
+            let entries = configs.iter().enumerate().map(|(to, other)| {
                 let address = if from == to {
                     other.address
                 } else {
                     network.link_address(from, to)
                 };
-                other.listed(address)
+                other.to_host_entry(address)
             });
-            platform.set_view_hosts(&place.dc, listed.collect());
+            platform.set_view_hosts(&config.dc, entries.collect());
         }
-        let hosts = places
+        let hosts = configs
             .into_iter()
             .map(Host::start)
             .collect::<Result<Vec<_>, _>>()?;
@@ -92,23 +99,27 @@
         })
     }
 
-    /// Waits until every host serves.
+    /// Waits until every host is ready to serve callers.
     pub(crate) fn wait_ready(&self) -> Result<(), DemoError> {
         let start = Instant::now();
         for host in &self.hosts {
             while !host.is_ready() {
-                if start.elapsed() > READY_BOUND {
-                    let part = host.place.host.to_string();
+                if start.elapsed() > READY_TIMEOUT {
+                    let component = host.config.host.to_string();
                     let waited_ms = start.elapsed().as_millis() as u64;
-                    return Err(DemoError::NotReady { part, waited_ms });
+                    return Err(DemoError::NotReady {
+                        component,
+                        waited_ms,
+                    });
                 }
-                thread::sleep(READY_POLL);
+                thread::sleep(READY_POLL_INTERVAL);
             }
         }
         Ok(())
     }
 
-    /// Cuts a data centre off from the platform and from the other data centres until unset.
+    /// Partitions a data centre from the platform and from the other data centres while `on` is
+    /// set.
     pub(crate) fn set_partition(&self, dc: &Dc, on: bool) {
         self.platform.set_view_cut(dc, on);
         for link in &self.links {
@@ -119,7 +130,6 @@
         }
     }
 
-    /// Stops the hosts.
     pub(crate) fn stop(&self) {
         for host in &self.hosts {
             host.stop();
@@ -127,7 +137,7 @@
     }
 }
 
-/// A loopback network of the demo's own, so that several demos can run at once.
+/// A random /24 network of loopback addresses, so that several demos can run on one machine.
 struct Network {
     octets: [u8; 2],
 }
@@ -149,27 +159,27 @@
     }
 
     fn link_address(&self, from: usize, to: usize) -> IpAddr {
-        self.address((from + 1) * LINK_STRIDE + to)
+        self.address((from + 1) * LINK_ADDRESS_STRIDE + to)
     }
 
-    fn links(&self, places: &[Place]) -> Result<Vec<Link>, DemoError> {
+    fn links(&self, configs: &[HostConfig]) -> Result<Vec<Link>, DemoError> {
         let mut links = Vec::new();
-        for (from, sender) in places.iter().enumerate() {
-            for (to, receiver) in places.iter().enumerate().filter(|(to, _)| *to != from) {
+        for (from, sender) in configs.iter().enumerate() {
+            for (to, receiver) in configs.iter().enumerate().filter(|(to, _)| *to != from) {
                 let mut link = Link {
                     from: sender.dc.clone(),
                     tcp: Vec::new(),
                     to: receiver.dc.clone(),
                     udp: Vec::new(),
                 };
-                for port in Place::peer_ports() {
+                for port in HostConfig::peer_ports() {
                     let listen = SocketAddr::new(self.link_address(from, to), port);
                     let upstream = SocketAddr::new(receiver.address, port);
-                    let part = "link";
+                    let component = "link";
                     link.tcp
-                        .push(Relay::start(listen, upstream).context(StartSnafu { part })?);
+                        .push(Relay::start(listen, upstream).context(StartSnafu { component })?);
                     link.udp
-                        .push(UdpRelay::start(listen, upstream).context(StartSnafu { part })?);
+                        .push(UdpRelay::start(listen, upstream).context(StartSnafu { component })?);
                 }
                 links.push(link);
             }
--- a/crates/godwitspool-demo/src/table.rs
+++ b/crates/godwitspool-demo/src/table.rs
@@ -1,16 +1,16 @@
-//! The table at the end of a run.
+//! The table that is printed at the end of a run.
 
 use std::fmt;
 
 use crate::Figures;
 
-/// Shows figures as a table.
+/// Formats figures as a table.
 pub(crate) struct Table<'a>(pub(crate) &'a Figures);
 
 impl fmt::Display for Table<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self(figures) = self;
-        head(f, "interactive callers")?;
+        heading(f, "interactive callers")?;
         row(f, "whole answers", figures.interactive_ok)?;
         row(f, "refused to the last", figures.interactive_refused)?;
         for (reason, count) in &figures.refused_by_reason {
@@ -32,22 +32,22 @@
             "worst workspace, 99th percentile, ms",
             figures.worst_workspace_p99_ms,
         )?;
-        head(f, "trainers")?;
+        heading(f, "trainers")?;
         row(f, "steps whole", figures.steps_complete)?;
         row(f, "samples", figures.samples_delivered)?;
         let idle = figures.trainer_idle_ratio * 100.0;
         row(f, "time waited for a batch, %", format!("{idle:.1}"))?;
-        head(f, "targets and usage")?;
+        heading(f, "targets and usage")?;
         row(
             f,
             "target seconds paid for",
             format!("{:.1}", figures.target_seconds),
         )?;
-        let cheap = figures.cheap_target_ratio * 100.0;
+        let reclaimable = figures.cheap_target_ratio * 100.0;
         row(
             f,
             "of these on reclaimable targets, %",
-            format!("{cheap:.1}"),
+            format!("{reclaimable:.1}"),
         )?;
         row(f, "target orders", figures.orders_sent)?;
         row(f, "usage windows", figures.windows_reported)?;
@@ -56,7 +56,7 @@
             "answers that no window bills",
             figures.usage_lost_requests,
         )?;
-        head(f, "broken promises")?;
+        heading(f, "broken promises")?;
         if figures.is_clean() {
             row(f, "none", 0)?;
         }
@@ -67,7 +67,7 @@
     }
 }
 
-fn head(f: &mut fmt::Formatter<'_>, text: &str) -> fmt::Result {
+fn heading(f: &mut fmt::Formatter<'_>, text: &str) -> fmt::Result {
     writeln!(f, "\n{text}")
 }
 
--- a/crates/godwitspool-demo/src/trainer.rs
+++ b/crates/godwitspool-demo/src/trainer.rs
@@ -1,4 +1,4 @@
-//! Trainers: they submit steps, fetch batches and learn from them.
+//! Trainers, which submit steps and fetch and acknowledge their batches.
 
 use std::{
     net::SocketAddr,
@@ -22,14 +22,16 @@
     client::{Client, Reply},
 };
 
-/// Most fetches of a step; fetches are counted over all steps.
-const FETCHES: u64 = 1_000_000;
-const GROUPS: u32 = 6;
-const SAMPLES: u32 = 4;
-const MOST_TOKENS: u32 = 96;
-const WAIT_MS: u64 = 300;
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-const TRAIN: Duration = Duration::from_millis(250);
+/// Range of fetch numbers reserved for each step, so that they are unique over all steps.
+const FETCHES_PER_STEP: u64 = 1_000_000;
+const GROUPS_PER_STEP: u32 = 6;
+const SAMPLES_PER_GROUP: u32 = 4;
+const MAX_TOKENS: u32 = 96;
+/// Time that a host may wait for a batch to be complete before it answers.
+const BATCH_WAIT_MS: u64 = 300;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Simulated time to train on a batch.
+const TRAIN_TIME: Duration = Duration::from_millis(250);
 
 /// A trainer.
 #[derive(Debug)]
@@ -37,29 +39,31 @@
     pub(crate) client: Client,
     pub(crate) name: TrainerName,
     pub(crate) recorder: Recorder,
-    /// Its workspace's keys and hosts.
+    /// Session of the trainer's workspace, for its keys and hosts.
     pub(crate) session: Arc<Session>,
 }
 
-/// What a trainer's work came to.
+/// Result of a trainer's run.
 #[derive(Debug, Default)]
-pub(crate) struct Trained {
-    /// The samples that it got.
+pub(crate) struct TrainerResult {
+    /// Samples of the batches that it fetched completely.
     pub(crate) deliveries: Vec<Delivery>,
-    /// Time that it waited for batches.
+    /// Time spent in completed fetches, including the wait for batches.
     pub(crate) idle: Duration,
-    /// Time that it worked.
+    /// Duration of the run.
     pub(crate) total: Duration,
 }
 
-/// A sample as a trainer got it.
+/// A sample that a trainer received.
 #[derive(Clone, Debug)]
 pub(crate) struct Delivery {
+    /// Time when it was received, on the recorder's clock.
     pub(crate) at: Millis,
+    /// Number of the fetch that returned it.
     pub(crate) fetch: u64,
-    /// Most tokens asked for.
+    /// Maximum number of tokens requested.
     pub(crate) max_tokens: u32,
-    /// Prompt of its group.
+    /// Prompt of the sample's group.
     pub(crate) messages: Vec<Message>,
     pub(crate) sample: SampleName,
     pub(crate) spans: Vec<Span>,
@@ -106,53 +110,60 @@
     version: WeightVersion,
 }
 
-/// What came of asking for a page.
-enum Asked {
-    Again,
-    FromStart,
+/// Result of fetching a page of a batch.
+enum PageReply {
+    /// The page is not available yet, or the request failed.
+    Retry,
+    /// The host has another batch than the one that earlier pages came from, so the fetch starts
+    /// again at the first page.
+    Restart,
     Page(PageBody),
 }
 
 impl Trainer {
-    /// Works step after step until told to stop. The next step is submitted before a batch is fetched.
-    pub(crate) fn run(&self, halt: &AtomicBool) -> Trained {
-        let mut trained = Trained::default();
+    /// Trains on one step after another until `stopped` is set. Submits the next step before it
+    /// fetches a batch, so that hosts can work on it meanwhile.
+    pub(crate) fn run(&self, stopped: &AtomicBool) -> TrainerResult {
+        let mut result = TrainerResult::default();
         let start = Instant::now();
         let mut step = 1;
-        let mut submitted = self.submit(step, halt);
+        let mut submitted = self.submit(step, stopped);
         while submitted {
-            submitted = self.submit(step + 1, halt);
-            let asked = Instant::now();
-            let Some((digest, deliveries)) = self.fetch(step, halt) else {
+            submitted = self.submit(step + 1, stopped);
+            let fetch_start = Instant::now();
+            let Some((digest, deliveries)) = self.fetch(step, stopped) else {
                 break;
             };
-            trained.idle += asked.elapsed();
-            trained.deliveries.extend(deliveries);
-            thread::sleep(TRAIN);
-            self.acknowledge(step, &digest, halt);
+            result.idle += fetch_start.elapsed();
+            result.deliveries.extend(deliveries);
+            thread::sleep(TRAIN_TIME);
+            self.acknowledge(step, &digest, stopped);
             step += 1;
         }
-        trained.total = start.elapsed();
-        trained
+        result.total = start.elapsed();
+        result
     }
 
-    fn submit(&self, step: u64, halt: &AtomicBool) -> bool {
-        let groups = (0..GROUPS).map(|group| GroupBody {
+    /// Submits a step, and retries until it is accepted. Returns `false` if stopped before.
+    fn submit(&self, step: u64, stopped: &AtomicBool) -> bool {
+        let groups = (0..GROUPS_PER_STEP).map(|group| GroupBody {
             group,
-            max_tokens: MOST_TOKENS,
+            max_tokens: MAX_TOKENS,
             messages: self.messages(step, group),
-            samples: SAMPLES,
+            samples: SAMPLES_PER_GROUP,
         });
         let body = GroupsBody {
             groups: groups.collect(),
-            total: GROUPS,
+            total: GROUPS_PER_STEP,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        while !halt.load(Ordering::Relaxed) {
-            if let Some((200, _)) = self.ask(Request::post(self.url(step, "groups")), &body) {
-                let groups = (0..GROUPS).map(|group| Group {
+        while !stopped.load(Ordering::Relaxed) {
+            if let Some((200, _)) =
+                self.send_to_any_host(Request::post(self.url(step, "groups")), &body)
+            {
+                let groups = (0..GROUPS_PER_STEP).map(|group| Group {
                     group,
-                    samples: SAMPLES,
+                    samples: SAMPLES_PER_GROUP,
                 });
                 let (groups, trainer) = (groups.collect(), self.name.clone());
                 self.recorder.record(Event::Submitted {
@@ -162,18 +173,18 @@
                 });
                 return true;
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
         false
     }
 
-    /// Fetches all pages of a batch.
-    fn fetch(&self, step: u64, halt: &AtomicBool) -> Option<(String, Vec<Delivery>)> {
+    /// Fetches all pages of a batch. Returns its digest and samples, or `None` if stopped before.
+    fn fetch(&self, step: u64, stopped: &AtomicBool) -> Option<(String, Vec<Delivery>)> {
         let mut digest = None::<String>;
         let mut deliveries = Vec::new();
         let mut page = 0;
-        let mut fetch = step * FETCHES;
-        while !halt.load(Ordering::Relaxed) {
+        let mut fetch = step * FETCHES_PER_STEP;
+        while !stopped.load(Ordering::Relaxed) {
             if page == 0 {
                 fetch += 1;
                 let trainer = self.name.clone();
@@ -183,13 +194,13 @@
                     trainer,
                 });
             }
-            match self.ask_page(step, page, digest.as_deref()) {
-                Asked::Again => thread::sleep(RETRY_PAUSE),
-                Asked::FromStart => {
+            match self.fetch_page(step, page, digest.as_deref()) {
+                PageReply::Retry => thread::sleep(RETRY_DELAY),
+                PageReply::Restart => {
                     (digest, page) = (None, 0);
                     deliveries.clear();
                 }
-                Asked::Page(body) => {
+                PageReply::Page(body) => {
                     deliveries.extend(self.deliveries(step, fetch, body.samples));
                     page += 1;
                     if page >= body.pages {
@@ -208,34 +219,37 @@
         None
     }
 
-    fn ask_page(&self, step: u64, page: u32, digest: Option<&str>) -> Asked {
+    fn fetch_page(&self, step: u64, page: u32, digest: Option<&str>) -> PageReply {
         let digest = digest.map_or_else(String::new, |digest| format!("&digest={digest}"));
-        let path = format!("batch?page={page}&wait_ms={WAIT_MS}{digest}");
-        match self.ask(Request::get(self.url(step, &path)), &[]) {
+        let path = format!("batch?page={page}&wait_ms={BATCH_WAIT_MS}{digest}");
+        match self.send_to_any_host(Request::get(self.url(step, &path)), &[]) {
             Some((200, body)) => match serde_json::from_str(&body) {
-                Ok(page) => Asked::Page(page),
+                Ok(page) => PageReply::Page(page),
                 Err(error) => {
-                    log::error!(trainer:% = self.name; "page: {error}");
-                    Asked::Again
+                    log::error!(trainer:% = self.name; "can't parse batch page: {error}");
+                    PageReply::Retry
                 }
             },
-            Some((409, _)) => Asked::FromStart,
-            _ => Asked::Again,
+            Some((409, _)) => PageReply::Restart,
+            _ => PageReply::Retry,
         }
     }
 
-    fn acknowledge(&self, step: u64, digest: &str, halt: &AtomicBool) {
+    fn acknowledge(&self, step: u64, digest: &str, stopped: &AtomicBool) {
         let body = serde_json::to_vec(&AckBody { digest }).unwrap_or_default();
-        while !halt.load(Ordering::Relaxed) {
-            if let Some((200, _)) = self.ask(Request::post(self.url(step, "ack")), &body) {
+        while !stopped.load(Ordering::Relaxed) {
+            if let Some((200, _)) =
+                self.send_to_any_host(Request::post(self.url(step, "ack")), &body)
+            {
                 return;
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
     }
 
-    /// Sends a request to any host and returns status and body.
-    fn ask(&self, request: Builder, body: &[u8]) -> Option<(u16, String)> {
+    /// Sends a request and returns the status with the body or the reason of the refusal. Returns
+    /// `None` if the connection failed or the answer ended early.
+    fn send_to_any_host(&self, request: Builder, body: &[u8]) -> Option<(u16, String)> {
         let key = lock(&self.session.keys).current.clone();
         match self.client.send(request, Some(&key), body.to_vec()) {
             Reply::Complete(mut response) => {
@@ -249,16 +263,17 @@
             }
             Reply::Refused(refusal) => Some((refusal.status, refusal.reason)),
             Reply::Broken(reason) => {
-                log::debug!(trainer:% = self.name; "broken: {reason}");
+                log::debug!(trainer:% = self.name; "request failed: {reason}");
                 None
             }
         }
     }
 
+    /// Returns the URL of an action on a random host.
     fn url(&self, step: u64, action: &str) -> String {
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+        let no_host = SocketAddr::from(([127, 0, 0, 1], 1));
         let host = self.session.hosts.choose(&mut rand::rng());
-        let host = host.map_or(nowhere, |(_, address)| *address);
+        let host = host.map_or(no_host, |(_, address)| *address);
         format!(
             "http://{host}/v1/trainers/{}/steps/{step}/{action}",
             self.name
@@ -297,7 +312,7 @@
             Delivery {
                 at,
                 fetch,
-                max_tokens: MOST_TOKENS,
+                max_tokens: MAX_TOKENS,
                 messages: self.messages(step, group),
                 sample: SampleName {
                     trainer: self.name.clone(),
--- a/crates/godwitspool-demo/tests/demo.rs
+++ b/crates/godwitspool-demo/tests/demo.rs
@@ -12,7 +12,7 @@
 }
 
 fn options(arguments: &[&str]) -> DemoOptions {
-    match Command::parse(arguments).expect("a right command line") {
+    match Command::parse(arguments).expect("a valid command line") {
         Command::Run(options) => options,
         other => panic!("{other:?}"),
     }
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn all_faults_are_meant_by_all() {
+fn faults_all_selects_every_kind() {
     assert_eq!(options(&["--faults", "all"]).faults, FaultKind::ALL);
 }
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn names_of_faults_read_back() {
+fn names_of_faults_parse_back() {
     for kind in FaultKind::ALL {
         assert_eq!(kind.to_string().parse(), Ok(kind));
     }
