--- a/crates/godwitspool-request/src/breaker.rs
+++ b/crates/godwitspool-request/src/breaker.rs
@@ -66,8 +66,8 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn record(&mut self, health: AttemptOutcome, now: Millis, rng: &mut impl Rng) {
-        match health {
+    pub fn record(&mut self, outcome: AttemptOutcome, now: Millis, rng: &mut impl Rng) {
+        match outcome {
             AttemptOutcome::Answered => *self = Self::default(),
             AttemptOutcome::Unreachable => self.unreachable += 1,
             AttemptOutcome::Failed(caller) => self.count_failure(caller),
--- a/crates/godwitspool-request/src/idempotency.rs
+++ b/crates/godwitspool-request/src/idempotency.rs
@@ -210,7 +210,8 @@
         }
     }
 
-    /// Records that a host crashed or is unreachable: the outcome of its requests becomes unknown.
+    /// Records that a host crashed or is unreachable: the outcome of its requests in progress
+    /// becomes unknown.
     pub fn host_lost(&mut self, host: &HostName) {
         for stored in self.keys.values_mut() {
             if stored.fate == Fate::Running(host.clone()) {
--- a/crates/godwitspool-request/src/limits.rs
+++ b/crates/godwitspool-request/src/limits.rs
@@ -164,8 +164,9 @@
 
 /// The home host's side of a workspace's limits.
 ///
-/// A part of the limits stays reserved for the default grants; the grants together never exceed
-/// the rest. A new home grants nothing until all grants of the previous home have expired.
+/// A part of the limits stays reserved for the default grants. What is granted in addition to them
+/// never exceeds the rest. A new home grants nothing until all grants of the previous home have
+/// expired.
 ///
 /// ```
 /// use godwitspool_request::{LimitHome, Limits, LimitDemand};
--- a/crates/godwitspool-request/src/pool.rs
+++ b/crates/godwitspool-request/src/pool.rs
@@ -92,7 +92,7 @@
         for index in buckets.ids() {
             let members = &self.buckets[index as usize];
             let first = members.iter().max_by_key(|member| weighted(member));
-            // Checking usability is only needed for the others when the first isn't usable.
+            // The others are checked only if the first isn't usable.
             let best = first.filter(|member| usable(member)).or_else(|| {
                 let usable_members = members.iter().filter(|member| usable(member));
                 usable_members.max_by_key(|member| weighted(member))
--- a/crates/godwitspool-request/src/quarantine.rs
+++ b/crates/godwitspool-request/src/quarantine.rs
@@ -1,11 +1,11 @@
 //! Detection and quarantine of requests that crash targets.
 //!
 //! When a target crashes, every request in flight on it becomes a suspect and gets a part of the
-//! blame. Each fingerprint has one home host, found by rendezvous hashing. The home runs a suspect
-//! on trial: one copy at a time in the whole fleet, on a target without other suspects. A suspect
-//! that is answered is cleared. A suspect is quarantined after three crashes if its blame adds up
-//! to two crashes in trials. One crash in a trial isn't enough, because targets also crash for
-//! other reasons, and a harmless suspect can be on trial at that moment.
+//! blame. Each fingerprint has one home host, found by rendezvous hashing. The home lets a suspect
+//! run only on trial: one copy at a time in the whole fleet, on a target without other suspects. A
+//! suspect that is answered is cleared. A suspect is quarantined after three crashes if its blame
+//! adds up to two crashes in trials. One crash in a trial isn't enough, because targets also crash
+//! for other reasons, and a harmless suspect can be on trial at that moment.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/godwitspool-request/src/rendezvous.rs
+++ b/crates/godwitspool-request/src/rendezvous.rs
@@ -21,7 +21,8 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Returns the `count` members with the highest weights for a key, in descending order.
+/// Returns at most `count` members, those with the highest weights for a key, in descending order
+/// of weight.
 ///
 /// A member that joins or leaves moves only the keys whose homes include it.
 ///
--- a/crates/godwitspool-request/src/retry.rs
+++ b/crates/godwitspool-request/src/retry.rs
@@ -176,8 +176,9 @@
     /// Decides what to do after a failed attempt.
     ///
     /// A retry that makes a target run the request again is taken from both retry budgets. A retry
-    /// after a failed connection, or one that resumes after the tokens that the caller has, adds no
-    /// load to the targets and is limited only by the number of attempts.
+    /// after an attempt that did not run, such as a failed connection, or one that resumes after the
+    /// tokens that the caller has, makes no target work more and is limited only by the number of
+    /// attempts.
     ///
     /// ```
     /// use godwitspool_request::{Attempts, Reason, RetryBudget, RetryDecision, RetryReason};
--- a/crates/godwitspool-request/src/silence.rs
+++ b/crates/godwitspool-request/src/silence.rs
@@ -2,7 +2,7 @@
 
 use godwitspool_types::Millis;
 
-/// What an idle timeout measures the wait for.
+/// What a read waits for.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Wait {
     /// The first byte of an answer, which includes the time in the target's queue.
--- a/crates/godwitspool-request/src/targets.rs
+++ b/crates/godwitspool-request/src/targets.rs
@@ -45,7 +45,7 @@
     pub version: Option<WeightVersion>,
 }
 
-/// What was found so far while no target with a preferred load was found.
+/// Results of the search so far, which are used if no target has a preferred load.
 #[derive(Default)]
 struct Fallback {
     /// Whether any target meets the requirements, even if it is full.
@@ -204,11 +204,11 @@
     pub fn record(
         &mut self,
         id: TargetId,
-        health: AttemptOutcome,
+        outcome: AttemptOutcome,
         now: Millis,
         rng: &mut impl Rng,
     ) {
-        self.table[id.0 as usize].breaker.record(health, now, rng);
+        self.table[id.0 as usize].breaker.record(outcome, now, rng);
     }
 
     /// Chooses a target for a request.
--- a/crates/godwitspool-request/tests/admission.rs
+++ b/crates/godwitspool-request/tests/admission.rs
@@ -109,7 +109,7 @@
     assert_eq!(
         refused(&actions),
         [],
-        "requests of one workspace must not use up the wait of another"
+        "the queue of one workspace must not make another miss its deadline"
     );
 }
 
--- a/crates/godwitspool-request/tests/quarantine.rs
+++ b/crates/godwitspool-request/tests/quarantine.rs
@@ -169,9 +169,7 @@
         let mut fingerprints: Vec<u64> = harmless.collect();
         fingerprints.insert(rng.random_range(0..fingerprints.len()), POISON);
         for fingerprint in fingerprints {
-            let target = *alive
-                .choose(&mut rng)
-                .expect("fewer than all targets crashed");
+            let target = *alive.choose(&mut rng).expect("some targets are alive");
             match known
                 .get(&fingerprint)
                 .copied()
