--- a/crates/godwitspool-version/src/append_budget.rs
+++ b/crates/godwitspool-version/src/append_budget.rs
@@ -165,7 +165,7 @@
     }
 
     /// Queues a record. Returns false if the record is refused, because too many records of its
-    /// stream are waiting.
+    /// stream are waiting or the stream has no limits.
     pub fn offer(&mut self, record: Record) -> bool {
         let stream = Stream::of(&record.body);
         let Some(queue) = self.streams.get_mut(&stream) else {
--- a/crates/godwitspool-version/src/configuration.rs
+++ b/crates/godwitspool-version/src/configuration.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct ServiceRules {
-    /// Deadline for an interactive request.
+    /// Time within which an interactive request must be answered.
     pub deadline_ms: u64,
     /// Whether a request may safely run twice, so that it may be retried.
     pub idempotent: bool,
--- a/crates/godwitspool-version/src/fold.rs
+++ b/crates/godwitspool-version/src/fold.rs
@@ -114,7 +114,7 @@
     Ignored,
 }
 
-/// The next record can't be applied.
+/// A record can't be applied.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum FoldError {
     /// Records are missing, because the log's retention removed them.
--- a/crates/godwitspool-version/src/order_dispatch.rs
+++ b/crates/godwitspool-version/src/order_dispatch.rs
@@ -31,9 +31,9 @@
 /// What to do about an open order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderStep {
-    /// Sends the order, under the current term of the sender.
+    /// Send the order, under the current term of the sender.
     Send(OrderIntent),
-    /// Records that the order is revoked.
+    /// Record that the order is revoked.
     Revoke(OrderId),
 }
 
--- a/crates/godwitspool-version/src/scaling.rs
+++ b/crates/godwitspool-version/src/scaling.rs
@@ -80,7 +80,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassState {
-    /// Cost of idle targets so far, in price units times milliseconds.
+    /// Cost of idle time since the last order or shortage, in price units times milliseconds.
     idle_cost: u64,
     /// Consecutive orders for which no targets were available.
     unavailable: u32,
--- a/crates/godwitspool-version/src/scaling_rules.rs
+++ b/crates/godwitspool-version/src/scaling_rules.rs
@@ -10,7 +10,8 @@
     pub min_backoff: Millis,
     /// Upper bound of the backoff.
     pub max_backoff: Millis,
-    /// Minimum time between orders for a class in a data centre that follow the demand.
+    /// Minimum time between orders for a class in a data centre that follow the demand. Targets
+    /// also stay idle for at least this time before they are stopped.
     pub cooldown: Millis,
     /// Slots kept free for interactive requests, as a percentage of those needed at the peak.
     pub headroom_percent: u32,
--- a/crates/godwitspool-version/src/scaling_view.rs
+++ b/crates/godwitspool-version/src/scaling_view.rs
@@ -85,7 +85,7 @@
     classes_of(view, service).any(|(_, rules)| !rules.reclaimable)
 }
 
-/// Counts the targets that run interactive requests. These are the non-reclaimable targets if the
+/// Counts the targets that may run interactive requests. These are the non-reclaimable targets if the
 /// service has such a class, and all targets otherwise.
 pub(crate) fn interactive_capacity(view: ScalingView<'_>, dc: &Dc, service: &ServiceName) -> u32 {
     let has_non_reclaimable = has_non_reclaimable(view, service);
--- a/crates/godwitspool-version/src/snapshot.rs
+++ b/crates/godwitspool-version/src/snapshot.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Splits a fold's snapshot into records with at most `part_bytes` of its text each. Parts have at
-/// least 4 bytes, so that each holds at least one character.
+/// Splits a fold's snapshot into records with at most `part_bytes` of its text each. A limit below
+/// 4 bytes is raised to 4, so that each part can hold a character.
 pub fn snapshot_records(fold: &Fold, part_bytes: usize) -> Vec<Record> {
     let text = fold.snapshot();
     let bodies = split(&text, part_bytes.max(4));
--- a/crates/godwitspool-version/src/usage.rs
+++ b/crates/godwitspool-version/src/usage.rs
@@ -1,4 +1,4 @@
-//! Usage on its way from the entry host that counted it to the report to the platform.
+//! Usage from the time at which an entry host counts it until it is reported to the platform.
 
 use std::collections::BTreeMap;
 
--- a/crates/godwitspool-version/src/window_table.rs
+++ b/crates/godwitspool-version/src/window_table.rs
@@ -9,7 +9,7 @@
 use crate::{Coverage, UsageFigures, UsageSeal, WindowFrozen};
 
 const MAX_REPORTED_WINDOWS: usize = 64;
-/// For this many windows after its last seal, the coverage of an incarnation is kept.
+/// Number of windows for which the coverage of an incarnation is kept after its last seal.
 const COVERAGE_RETENTION_WINDOWS: u64 = 2_880;
 
 /// Usage windows, as folded from the log.
--- a/crates/godwitspool-version/tests/scaling.rs
+++ b/crates/godwitspool-version/tests/scaling.rs
@@ -14,7 +14,7 @@
 
 /// A simulated fleet that executes each order immediately.
 struct Fleet {
-    book: OrderTable,
+    table: OrderTable,
     configuration: Configuration,
     /// Whether the platform's list omits all targets.
     is_list_empty: bool,
@@ -54,7 +54,7 @@
         };
         configuration.dcs.insert("d".into(), dc);
         Self {
-            book: OrderTable::default(),
+            table: OrderTable::default(),
             configuration,
             is_list_empty: false,
             loads: Vec::new(),
@@ -83,7 +83,7 @@
             let view = ScalingView {
                 configuration: &self.configuration,
                 loads: &self.loads,
-                orders: &self.book,
+                orders: &self.table,
                 targets: if self.is_list_empty {
                     &[]
                 } else {
@@ -108,13 +108,13 @@
             reason: order.reason,
             term: Term(1),
         };
-        assert!(self.book.open(Offset(self.next), &intent, Some(Term(1))));
+        assert!(self.table.open(Offset(self.next), &intent, Some(Term(1))));
         let outcome = match self.outcome.clone() {
             Some(outcome) => outcome,
             None => OrderOutcome::Done(self.apply(order)),
         };
         self.next += 1;
-        assert!(self.book.close(Offset(self.next), id, &outcome));
+        assert!(self.table.close(Offset(self.next), id, &outcome));
     }
 
     fn apply(&mut self, order: &ScalingOrder) -> Vec<TargetName> {
