--- a/crates/godwitspool-request/tests/targets.rs
+++ b/crates/godwitspool-request/tests/targets.rs
@@ -128,8 +128,8 @@
         ..targets.facts(third).clone()
     };
     targets.put(facts);
-    for fingerprint in 0..500 {
-        assert_ne!(chosen(&targets, &need(fingerprint)), third);
+    for print in 0..500 {
+        assert_ne!(chosen(&targets, &need(print)), third);
     }
 }
 
@@ -168,10 +168,10 @@
     for index in (0..count).step_by(10) {
         targets.report(&TargetName::from(format!("t{index}")), &report);
     }
-    for fingerprint in 0..200 {
+    for print in 0..200 {
         let need = Need {
             version: Some(WeightVersion::from("v9")),
-            ..need(fingerprint)
+            ..need(print)
         };
         let name = name(&targets, &need);
         let index: u32 = name[1..].parse().unwrap();
@@ -207,13 +207,13 @@
 #[test]
 fn an_affinity_stays_until_its_target_is_much_fuller() {
     let mut targets = fleet(8, 8);
-    let group = |fingerprint| Need {
+    let group = |print| Need {
         affinity: Some(stable_hash(b"group")),
-        ..need(fingerprint)
+        ..need(print)
     };
     let home = chosen(&targets, &group(0));
-    for fingerprint in 0..3 {
-        assert_eq!(chosen(&targets, &group(fingerprint)), home);
+    for print in 0..3 {
+        assert_eq!(chosen(&targets, &group(print)), home);
         targets.begin(home);
     }
     assert_ne!(chosen(&targets, &group(3)), home);
