--- a/crates/godwitspool-rollout/src/placement.rs
+++ b/crates/godwitspool-rollout/src/placement.rs
@@ -5,8 +5,8 @@
 
 /// Ranks hosts for a trainer by rendezvous hashing. The first is the home, the second the replica.
 ///
-/// A host that joins or leaves does not change the relative order of the others, so only the
-/// trainers that it serves are moved.
+/// A host that joins or leaves does not change the relative order of the others, so a trainer moves
+/// only if that host is its home or its replica.
 ///
 /// ```
 /// use godwitspool_rollout::rank_hosts;
--- a/crates/godwitspool-rollout/src/reclaim.rs
+++ b/crates/godwitspool-rollout/src/reclaim.rs
@@ -65,8 +65,8 @@
 /// Plans a move for each stream.
 ///
 /// Streams that are expected to end in time stay. Of the others, the longest are exported as far as
-/// the notice allows, and the rest resume on other targets. Streams without capacity elsewhere
-/// wait.
+/// the notice allows, and the rest resume on other targets. Streams for which no other target has
+/// capacity wait.
 ///
 /// ```
 /// use godwitspool_rollout::{
--- a/crates/godwitspool-rollout/src/sample.rs
+++ b/crates/godwitspool-rollout/src/sample.rs
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Appends a token that was produced by a weight version.
+    /// Appends a token and the weight version that produced it.
     pub fn push(&mut self, token: &str, version: &WeightVersion) {
         self.tokens.push(token);
         match self.spans.last_mut() {
--- a/crates/godwitspool-rollout/src/scoring.rs
+++ b/crates/godwitspool-rollout/src/scoring.rs
@@ -34,7 +34,7 @@
 /// of the call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScoreEvent {
-    /// A score is requested. Has no effect while the same key is pending.
+    /// A score is requested. A repeated request for a pending key has no effect.
     Ask(String),
     /// The service answered with this score.
     Answered(String, f64),
--- a/crates/godwitspool-rollout/src/share.rs
+++ b/crates/godwitspool-rollout/src/share.rs
@@ -68,8 +68,7 @@
         self.trainers.remove(trainer);
     }
 
-    /// Returns the total cost charged to a trainer, without refunds. It is 0.0 for an unknown
-    /// trainer.
+    /// Returns the total cost charged to a trainer, net of refunds, or 0.0 for an unknown trainer.
     pub fn spent(&self, trainer: &TrainerName) -> f64 {
         self.trainers
             .get(trainer)
--- a/crates/godwitspool-rollout/src/step/home.rs
+++ b/crates/godwitspool-rollout/src/step/home.rs
@@ -195,8 +195,8 @@
             .image
             .step(step)
             .map_or(0, |state| state.progress().samples);
-        // Only its own samples count against the limit of the oldest step, so that it can always be
-        // completed.
+        // For the oldest step, only its own samples count against the limit, so that it can always
+        // be completed.
         let is_oldest = self.image.oldest_step().is_none_or(|oldest| step <= oldest);
         let waiting = if is_oldest { own } else { self.image.waiting() };
         let bound = self.rules.max_open_samples;
--- a/crates/godwitspool-rollout/src/step/image.rs
+++ b/crates/godwitspool-rollout/src/step/image.rs
@@ -77,7 +77,7 @@
 }
 
 impl Record {
-    /// Returns the approximate size of the record in a message.
+    /// Returns the approximate size of the record in a message, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let payload = match self {
             Self::Finished(sample) => sample.bytes(),
@@ -211,7 +211,8 @@
 
     /// Adds the steps and acknowledgments of another home that are unknown here.
     ///
-    /// Does nothing if the number of rewinds differs, because then the steps are not comparable.
+    /// Nothing is added if the number of rewinds differs, because one of the two homes has then
+    /// missed a rewind.
     fn merge(&mut self, other: &Self) {
         if other.rewinds != self.rewinds {
             return;
--- a/crates/godwitspool-rollout/src/step/mod.rs
+++ b/crates/godwitspool-rollout/src/step/mod.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Counters for metrics, since the start of this host.
+/// Counters for metrics, from the creation of [`TrainerSteps`] on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StepCounts {
     /// Late or duplicate samples that were dropped.
@@ -109,7 +109,7 @@
 
 #[derive(Debug, Default)]
 struct Home {
-    /// Hosts to be told to drop the steps once the current replica has confirmed its image.
+    /// Hosts that must drop the steps once the current replica has confirmed its image.
     former_replicas: Vec<HostName>,
     /// Answers that wait for a confirmation of the replica.
     pending: Vec<Pending>,
--- a/crates/godwitspool-rollout/src/step/replication.rs
+++ b/crates/godwitspool-rollout/src/step/replication.rs
@@ -4,7 +4,7 @@
 
 use super::{Epoch, Image, PeerMessage, Record, Role, StepAction, TrainerSteps};
 
-/// Time after which unconfirmed records are sent again.
+/// Time after which unconfirmed images and records and unanswered handover offers are sent again.
 const RESEND_INTERVAL: Millis = Millis(500);
 /// Approximate maximum size of the records in one message.
 const MAX_MESSAGE_BYTES: usize = 256 << 10;
@@ -242,7 +242,7 @@
             PeerMessage::Probe => Some(PeerMessage::Probed {
                 holds: (!matches!(self.role, Role::Idle { .. })).then(|| self.epoch.clone()),
             }),
-            PeerMessage::Probed { holds } => self.handle_probe_reply(&from, holds, now, actions),
+            PeerMessage::Probed { holds } => self.handle_probe_answer(&from, holds, now, actions),
             PeerMessage::Records {
                 epoch,
                 first,
--- a/crates/godwitspool-rollout/src/step/role.rs
+++ b/crates/godwitspool-rollout/src/step/role.rs
@@ -62,7 +62,7 @@
         self.become_home_if_unclaimed(now, actions);
     }
 
-    pub(super) fn handle_probe_reply(
+    pub(super) fn handle_probe_answer(
         &mut self,
         from: &HostName,
         holds: Option<Epoch>,
@@ -180,7 +180,7 @@
         self.release_answers(actions);
     }
 
-    /// Gives up the current role. Streams are cancelled and waiting callers are redirected to the
+    /// Ends the current role. Streams are cancelled and waiting callers are redirected to the
     /// new home.
     pub(super) fn step_down(&mut self, epoch: Epoch, actions: &mut Vec<StepAction>) {
         let ids = std::mem::take(&mut self.running).into_keys();
@@ -193,8 +193,8 @@
                 .as_ref()
                 .filter(|replica| replica.confirmed.is_some());
             if successor.is_some_and(|replica| replica.host == epoch.host) {
-                // The successor answers no request before this host holds its complete state, so
-                // its own state is kept as a fallback until then.
+                // The successor answers no request before this host holds the successor's complete
+                // state. Until then, this host keeps its own state as a fallback.
                 self.role = Role::Replica {
                     sequence: 0,
                     last_complete: Some(Box::new(image)),
--- a/crates/godwitspool-rollout/src/straggler.rs
+++ b/crates/godwitspool-rollout/src/straggler.rs
@@ -192,7 +192,7 @@
         usual.max(seen)
     }
 
-    /// Chooses remedies for the running samples, the latest one first.
+    /// Chooses remedies for the running samples, starting with the one that ends last.
     ///
     /// `queue_ms` is how long the waiting samples keep the targets busy; a sample that ends before
     /// that is not late. The free capacity in `paces` is reduced by the chosen remedies.
--- a/crates/godwitspool-rollout/src/swap.rs
+++ b/crates/godwitspool-rollout/src/swap.rs
@@ -49,7 +49,7 @@
 pub enum SwapFailure {
     /// The target rejected the fencing token because another process holds the lease.
     Fenced,
-    /// The target reported an error, timed out, or answered with another version.
+    /// The target reported an error, timed out, or answered with or was seen with another version.
     Failed,
     /// The weight store rejected the request because of its rate limit.
     RateLimited,
--- a/crates/godwitspool-rollout/tests/policies.rs
+++ b/crates/godwitspool-rollout/tests/policies.rs
@@ -32,12 +32,12 @@
     let mut shares = Shares::default();
     let names: Vec<TrainerName> = (1..=12).map(|n| format!("t{n:02}").into()).collect();
     for (share, name) in (1..).zip(&names) {
-        let rules = TrainerDemand {
+        let demand = TrainerDemand {
             share,
             waiting: 100_000,
             ..TrainerDemand::default()
         };
-        shares.set(name.clone(), rules);
+        shares.set(name.clone(), demand);
     }
     let got = starts(&mut shares, 7_800);
     for (share, name) in (1..).zip(&names) {
@@ -52,21 +52,21 @@
 #[test]
 fn an_idle_trainer_leaves_its_share_and_accumulates_no_credit() {
     let mut shares = Shares::default();
-    let rules = TrainerDemand {
+    let demand = TrainerDemand {
         share: 1,
         waiting: 1_000,
         ..TrainerDemand::default()
     };
-    shares.set("busy".into(), rules.clone());
+    shares.set("busy".into(), demand.clone());
     shares.set(
         "idle".into(),
         TrainerDemand {
             waiting: 0,
-            ..rules.clone()
+            ..demand.clone()
         },
     );
     assert_eq!(starts(&mut shares, 100)["busy"], 100);
-    shares.set("idle".into(), rules);
+    shares.set("idle".into(), demand);
     let got = starts(&mut shares, 100);
     assert!(got["idle"].abs_diff(50) <= 1, "{got:?}");
     shares.remove(&"busy".into());
@@ -76,16 +76,16 @@
 #[test]
 fn a_late_step_runs_ahead_by_a_bounded_amount() {
     let mut shares = Shares::default();
-    let rules = TrainerDemand {
+    let demand = TrainerDemand {
         share: 1,
         waiting: 10_000,
         ..TrainerDemand::default()
     };
-    shares.set("calm".into(), rules.clone());
+    shares.set("calm".into(), demand.clone());
     let late = TrainerDemand {
         deadline: Some(Millis(10)),
         remaining: Millis(1_000),
-        ..rules
+        ..demand
     };
     shares.set("late".into(), late);
     let got = starts(&mut shares, 20);
@@ -97,13 +97,13 @@
 #[test]
 fn a_trainer_without_room_keeps_its_turn() {
     let mut shares = Shares::default();
-    let rules = TrainerDemand {
+    let demand = TrainerDemand {
         share: 1,
         waiting: 1_000,
         ..TrainerDemand::default()
     };
-    shares.set("a".into(), rules.clone());
-    shares.set("b".into(), rules);
+    shares.set("a".into(), demand.clone());
+    shares.set("b".into(), demand);
     for _ in 0..10 {
         let next = shares.next(Millis(0), 1.0, |name| name.as_str() == "b");
         assert_eq!(next, Some("b".into()));
@@ -114,12 +114,12 @@
 #[test]
 fn refunded_work_is_not_charged() {
     let mut shares = Shares::default();
-    let rules = TrainerDemand {
+    let demand = TrainerDemand {
         share: 1,
         waiting: 1,
         ..TrainerDemand::default()
     };
-    shares.set("t".into(), rules);
+    shares.set("t".into(), demand);
     shares.next(Millis(0), 5.0, |_| true);
     shares.refund(&"t".into(), 5.0);
     assert!(shares.spent(&"t".into()).abs() < 1e-9);
@@ -140,13 +140,13 @@
     stragglers
 }
 
-fn attempt(index: u32, tokens: u32, started: u64, heard: u64) -> Attempt {
+fn attempt(index: u32, tokens: u32, started_at: u64, last_token_at: u64) -> Attempt {
     Attempt {
         id: sample(index),
-        last_token_at: Millis(heard),
+        last_token_at: Millis(last_token_at),
         max_tokens: 4_096,
         prompt_tokens: 100,
-        started_at: Millis(started),
+        started_at: Millis(started_at),
         target: "slow".into(),
         tokens,
         resumed_tokens: 0,
--- a/crates/godwitspool-rollout/tests/steps.rs
+++ b/crates/godwitspool-rollout/tests/steps.rs
@@ -143,7 +143,7 @@
         let event = StepEvent::Request { reply: 9, request };
         let actions = host.steps.decide(event, Millis(10));
         let counts = actions.into_iter().filter_map(|action| match action {
-            StepAction::Count(handed) => Some(handed),
+            StepAction::Count(batch) => Some(batch),
             _ => None,
         });
         counts.collect::<Vec<_>>()
--- a/crates/godwitspool-rollout/tests/world/mod.rs
+++ b/crates/godwitspool-rollout/tests/world/mod.rs
@@ -328,9 +328,9 @@
                     .entry(self.step)
                     .or_default()
                     .insert(page.digest);
-                let is_whole = page.page + 1 == page.pages;
+                let is_complete = page.page + 1 == page.pages;
                 self.pages.push(page);
-                if is_whole {
+                if is_complete {
                     self.phase = Phase::Acknowledge;
                 }
             }
