--- a/crates/godwitspool-entry/src/connection/answer.rs
+++ b/crates/godwitspool-entry/src/connection/answer.rs
@@ -40,7 +40,7 @@
         .unwrap_or_else(|()| unreachable!("header name {name:?} is a constant"))
 }
 
-/// Writes server-sent events as a chunked HTTP answer and flushes after each event.
+/// Writes server-sent events as a chunked HTTP response and flushes after each event.
 pub(crate) struct EventWriter {
     writer: Box<dyn Write + Send>,
 }
@@ -99,7 +99,7 @@
 
 /// Sends the answer to one request.
 ///
-/// A refusal is an answer of its own as long as nothing has been sent. Afterwards the answer is a
+/// As long as nothing has been sent, a refusal is a response of its own. Afterwards the answer is a
 /// stream, which ends with the terminator or with an error event.
 #[derive(Debug)]
 pub(crate) struct Responder {
--- a/crates/godwitspool-entry/src/connection/callers.rs
+++ b/crates/godwitspool-entry/src/connection/callers.rs
@@ -55,8 +55,8 @@
     })
 }
 
-/// Refuses requests that arrive after the listener has stopped, on connections accepted before; for
-/// a bounded time.
+/// Refuses requests that arrive on open connections after the listener has stopped, for a bounded
+/// time.
 ///
 /// The thread isn't joined. It matters only where the process outlives its entry.
 fn refuse_late(listener: Arc<HttpListener>) {
--- a/crates/godwitspool-entry/src/process/billing.rs
+++ b/crates/godwitspool-entry/src/process/billing.rs
@@ -1,7 +1,8 @@
 //! Billing of answered requests.
 //!
-//! Usage records go to this host's steward, which copies them to other hosts before it confirms
-//! them. The end of an answer is sent only after its record is confirmed, or after a timeout.
+//! Usage records go to this host's steward, which copies them to other hosts, as far as these can be
+//! reached, before it confirms them. The end of an answer is sent only after its record is confirmed
+//! or a timeout has passed, or while no steward can be reached.
 
 use std::{
     net::SocketAddr,
--- a/crates/godwitspool-entry/src/process/entry.rs
+++ b/crates/godwitspool-entry/src/process/entry.rs
@@ -105,7 +105,7 @@
     /// The entry reports that it isn't ready, and serves new requests for a grace period until the
     /// load balancer has noticed. Then it refuses new requests and waits for those in progress. The
     /// wait ends after `timeout` in all, or as soon as `interrupted` is set. Finally the entry
-    /// hands the idempotency keys whose home it is over to other hosts.
+    /// hands over the idempotency keys that it keeps to other hosts.
     ///
     /// Returns the number of requests that were still in progress at the end.
     pub fn drain(&self, timeout: Duration, interrupted: &AtomicBool) -> usize {
--- a/crates/godwitspool-entry/src/request/admitted.rs
+++ b/crates/godwitspool-entry/src/request/admitted.rs
@@ -25,20 +25,20 @@
 pub(crate) struct FailedAttempt {
     pub(crate) retry_delay: Option<Millis>,
     pub(crate) cause: String,
-    pub(crate) health: Option<AttemptOutcome>,
+    pub(crate) outcome: Option<AttemptOutcome>,
     pub(crate) reason: RetryReason,
 }
 
 impl FailedAttempt {
-    /// Derives the retry reason and the target's health from a failed call. `streaming` is set once
-    /// tokens have arrived.
+    /// Derives the retry reason and the outcome to record for the target from a failed call.
+    /// `streaming` is set once tokens have arrived.
     pub(crate) fn new(error: &CallError, streaming: bool, caller: u64) -> Self {
         let lost = if streaming {
             RetryReason::StreamBroken
         } else {
             RetryReason::TargetLost
         };
-        let (reason, health) = match error {
+        let (reason, outcome) = match error {
             CallError::NotSent { .. } => (
                 RetryReason::ConnectFailed,
                 Some(AttemptOutcome::Unreachable),
@@ -59,7 +59,7 @@
         Self {
             retry_delay,
             cause: error.to_string(),
-            health,
+            outcome,
             reason,
         }
     }
@@ -130,22 +130,22 @@
             reason: failed.reason.code().to_owned(),
         };
         serving.record_step(self.work.id, step);
-        if let Some(health) = failed.health {
+        if let Some(outcome) = failed.outcome {
             let now = serving.now();
             serving
                 .dispatch
-                .record(&self.work, &self.assignment, health, now);
+                .record(&self.work, &self.assignment, outcome, now);
         }
         self.report_failure(failed.reason);
         self.end_attempt();
-        let verdict = self.shared.serving.dispatch.fail(
+        let decision = self.shared.serving.dispatch.fail(
             &mut self.work,
             &self.assignment.class,
             failed.reason,
             failed.retry_delay,
             self.shared.serving.now(),
         );
-        match verdict {
+        match decision {
             RetryDecision::Refuse(refusal) => Err(refusal),
             RetryDecision::Retry(pause) => {
                 thread::sleep(pause.duration());
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -248,16 +248,27 @@
 
     /// Records the outcome of an attempt in the target's health and, on success, in the retry
     /// budgets.
-    pub(crate) fn record(&self, work: &Work, on: &Assignment, health: AttemptOutcome, now: Millis) {
+    pub(crate) fn record(
+        &self,
+        work: &Work,
+        assignment: &Assignment,
+        outcome: AttemptOutcome,
+        now: Millis,
+    ) {
         let mut state = self.lock();
-        state.targets.record(on.id, health, now, &mut rand::rng());
-        if health == AttemptOutcome::Answered {
+        state
+            .targets
+            .record(assignment.id, outcome, now, &mut rand::rng());
+        if outcome == AttemptOutcome::Answered {
             let State {
                 budgets, classes, ..
             } = &mut *state;
             let workspace = work.caller.workspace.clone();
             budgets.entry(workspace).or_default().succeed();
-            classes.entry(on.class.clone()).or_default().succeed();
+            classes
+                .entry(assignment.class.clone())
+                .or_default()
+                .succeed();
         }
     }
 
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Bills the tokens sent to the caller. Waits for a bounded time until a steward holds the
-    /// usage record, since the caller of [`run`](Self::run) ends the answer afterwards.
+    /// Bills the tokens sent to the caller, and waits for a bounded time until a steward holds the
+    /// usage record. The answer ends only afterwards.
     fn record_usage(&self, end: &Result<GenerationEnd, Refusal>) {
         let tokens = self.assembler.tokens().len() as u64;
         if tokens > 0 || *end == Ok(GenerationEnd::Complete) {
--- a/crates/godwitspool-entry/src/request/idempotency.rs
+++ b/crates/godwitspool-entry/src/request/idempotency.rs
@@ -44,7 +44,7 @@
     Refused(Reason),
 }
 
-/// Claims a key at both of its home hosts. Unless both grant the claim, those that did release it.
+/// Claims a key at both of its home hosts. A claim that only one of them grants is released there.
 pub(crate) fn claim(
     shared: &Arc<Shared>,
     workspace: &Workspace,
--- a/crates/godwitspool-entry/src/request/journal.rs
+++ b/crates/godwitspool-entry/src/request/journal.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "step")]
 pub(crate) enum Step {
-    /// The caller's key was accepted.
+    /// The caller was authorized.
     Caller { service: String, workspace: String },
     /// The request was admitted after a wait in the queue.
     Admitted { waited_ms: u64 },
--- a/crates/godwitspool-entry/src/request/quota.rs
+++ b/crates/godwitspool-entry/src/request/quota.rs
@@ -13,7 +13,7 @@
 
 use crate::process::{serving, shared::Shared};
 
-/// Least time between two requests to the home host of one workspace's limits.
+/// Minimum time between two requests to the home host of one workspace's limits.
 const MIN_ASK_INTERVAL: Millis = Millis(200);
 
 #[derive(Debug, Default)]
--- a/crates/godwitspool-entry/src/request/suspicion.rs
+++ b/crates/godwitspool-entry/src/request/suspicion.rs
@@ -247,7 +247,7 @@
     })
 }
 
-/// Sends an announcement to all other hosts in a thread of its own.
+/// Sends an announcement to all other hosts in a thread of its own, without waiting for them.
 fn announce_to_others(shared: &Arc<Shared>, announcement: ServingRequest) {
     let members = shared.serving.members();
     let others = members.iter().filter(|host| **host != shared.settings.host);
--- a/crates/godwitspool-entry/src/rollout/moves.rs
+++ b/crates/godwitspool-entry/src/rollout/moves.rs
@@ -60,8 +60,9 @@
         known.token_ms > SLOW_TARGET_FACTOR * paces[paces.len() / 2]
     }
 
-    /// Sorts each queue: started samples first, then the first sample of each group, then the
-    /// others. Within these, earlier steps and then longer expected samples come first.
+    /// Sorts each queue: started samples first, then the others, both in the order of their steps.
+    /// Within a step, the first unstarted sample of each group precedes the other unstarted ones.
+    /// Among equals, the sample with the longer expected answer comes first.
     pub(super) fn sort_queues(&mut self) {
         let mut longest: HashMap<(StepNumber, u32), u32> = HashMap::new();
         for running in self.running.values() {
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -88,7 +88,7 @@
 /// Training on one target.
 #[derive(Debug)]
 pub(super) struct TargetState {
-    /// Time per token, as a moving average.
+    /// Milliseconds per token, measured on the running streams. Ended streams are averaged in.
     pub(super) token_ms: f64,
     pub(super) service: ServiceName,
     pub(super) share: TrainingShare,
--- a/crates/godwitspool-entry/src/rollout/scores.rs
+++ b/crates/godwitspool-entry/src/rollout/scores.rs
@@ -19,7 +19,7 @@
     tokens: Vec<String>,
 }
 
-/// A scorer's answer.
+/// A scorer's response.
 #[derive(Debug, Deserialize)]
 struct ScoreResponse {
     score: f64,
@@ -102,21 +102,21 @@
 /// Calls a live target of the scorer, chosen by the key's hash.
 fn call_scorer(shared: &Arc<Shared>, key: &str) -> Result<f64, String> {
     let view = shared.view();
-    let (question, scorer) = {
+    let (request, scorer) = {
         let state = shared.rollouts.lock();
         let (_, sample) = state.unscored.get(key).ok_or("no longer wanted")?;
         let trainer = state.trainers.get(&sample.id.trainer);
         let scorer = trainer.map(|trainer| trainer.rules.scorer.clone());
-        let question = ScoreRequest {
+        let request = ScoreRequest {
             sample: sample.id.to_string(),
             tokens: sample.tokens.iter().map(str::to_owned).collect(),
         };
-        (question, scorer.unwrap_or_default())
+        (request, scorer.unwrap_or_default())
     };
     let address = scorer_address(&view, &scorer, key).ok_or("no target of the scorer is live")?;
     let answer = shared
         .client(address)
-        .post::<_, ScoreResponse>(PATH, &question);
+        .post::<_, ScoreResponse>(PATH, &request);
     answer
         .map(|scored| scored.score)
         .map_err(|error| error.to_string())
--- a/crates/godwitspool-entry/src/rollout/stream.rs
+++ b/crates/godwitspool-entry/src/rollout/stream.rs
@@ -18,7 +18,7 @@
 use crate::process::shared::{Shared, TargetGuard};
 
 const TOKEN_IDLE_TIMEOUT: Millis = Millis(5_000);
-/// Weight of a stream's measured time per token in the target's moving average.
+/// Weight of an ended stream's time per token when it is averaged into the target's.
 const PACE_SMOOTHING: f64 = 0.1;
 
 /// How a stream ended.
--- a/crates/godwitspool-entry/src/rollout/trainers.rs
+++ b/crates/godwitspool-entry/src/rollout/trainers.rs
@@ -2,7 +2,7 @@
 //!
 //! | call | answer |
 //! |---|---|
-//! | `POST /v1/trainers/T/steps/S/groups` | progress, once two hosts hold the groups |
+//! | `POST /v1/trainers/T/steps/S/groups` | progress, once the home and its replica, if any, hold the groups |
 //! | `GET /v1/trainers/T/steps/S/batch?page=N&digest=D&wait_ms=M` | a page, or 202 with the progress |
 //! | `POST /v1/trainers/T/steps/S/ack` | the digest |
 //! | `POST /v1/trainers/T/steps/S/rewind` | the step and all later ones are dropped |
--- a/crates/godwitspool-entry/src/rollout/wire.rs
+++ b/crates/godwitspool-entry/src/rollout/wire.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Deserialize)]
 pub(super) struct GroupsBody {
     groups: Vec<GroupBody>,
-    /// Number of groups in the whole step.
+    /// Number of groups in the complete step.
     pub(super) total: u32,
 }
 
--- a/crates/godwitspool-entry/tests/cluster/mod.rs
+++ b/crates/godwitspool-entry/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Entries in front of stand-in targets, with a view that the test controls.
+//! Entries in front of fake targets, with a view that the test controls.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 #![allow(clippy::unwrap_used, reason = "a failed setup fails the test")]
@@ -30,7 +30,7 @@
 };
 use serde_json::Value;
 
-pub const TIMEOUT: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 pub const KEY: &str = "gsk-caller-key";
 const SEED: u64 = 3;
 
@@ -38,13 +38,13 @@
     pub engines: Vec<Engine>,
     pub entries: Vec<Entry>,
     pub plains: Vec<PlainService>,
-    /// Usage records that the stand-in steward holds.
+    /// Usage records that the fake steward holds.
     pub usage: Arc<Usage>,
     _steward: Server,
     view: Arc<Mutex<View>>,
 }
 
-/// Usage records that the stand-in steward holds.
+/// Usage records that the fake steward holds.
 #[derive(Default)]
 pub struct Usage {
     pub records: Mutex<Vec<UsageRecord>>,
@@ -314,7 +314,7 @@
     Answer::read(response.unwrap())
 }
 
-/// Returns a prompt whose answer has at least this many tokens.
+/// Returns a prompt whose answer has at least `min_tokens` tokens.
 pub fn long_prompt(min_tokens: u32, max_tokens: u32) -> String {
     let long = |index: &u32| {
         let message = Message {
@@ -330,7 +330,7 @@
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .max_idle_connections(0)
-        .timeout_global(Some(2 * TIMEOUT))
+        .timeout_global(Some(2 * WAIT_TIMEOUT))
         .build();
     ureq::Agent::new_with_config(config)
 }
@@ -345,9 +345,12 @@
 }
 
 pub fn wait_until(condition: impl Fn() -> bool) {
-    let end = Instant::now() + TIMEOUT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < end, "condition not met within {TIMEOUT:?}");
+        assert!(
+            Instant::now() < end,
+            "condition not met within {WAIT_TIMEOUT:?}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/godwitspool-entry/tests/failures.rs
+++ b/crates/godwitspool-entry/tests/failures.rs
@@ -227,8 +227,8 @@
 
     let operators = cluster.entries[1].operator_address();
     let listed = json(&format!("http://{operators}/quarantine"));
-    let print = listed["quarantined"][0].as_str().unwrap().to_owned();
-    let lift = format!("http://{operators}/quarantine/lift/{print}");
+    let fingerprint = listed["quarantined"][0].as_str().unwrap().to_owned();
+    let lift = format!("http://{operators}/quarantine/lift/{fingerprint}");
     cluster::agent().post(lift).send_empty().unwrap();
     wait_until(|| {
         let page = json(&format!("http://{operators}/quarantine"));
--- a/crates/godwitspool-entry/tests/path.rs
+++ b/crates/godwitspool-entry/tests/path.rs
@@ -23,7 +23,7 @@
     ServiceRef, ServiceRules, WorkspaceRules,
 };
 
-const TIMEOUT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const KEY: &str = "caller-key";
 const MAX_TOKENS: u32 = 12;
 const SEED: u64 = 3;
@@ -92,7 +92,7 @@
         .with_host("n1", "north")
         .with_steward(steward.address());
     let entry = Entry::start(settings).unwrap();
-    let end = Instant::now() + TIMEOUT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !entry.ready() && Instant::now() < end {
         thread::sleep(Duration::from_millis(10));
     }
@@ -113,7 +113,7 @@
         .http_status_as_error(false)
         .build();
     let agent = ureq::Agent::new_with_config(config);
-    let end = Instant::now() + TIMEOUT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         let response = agent
             .post(format!("http://{address}/v1/chat/completions"))
--- a/crates/godwitspool-entry/tests/trainer_system/mod.rs
+++ b/crates/godwitspool-entry/tests/trainer_system/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform, stewards, entries and engines in one process, and a trainer's calls.
+//! A fake platform, stewards, entries and engines in one process, and a trainer's calls.
 
 use std::{
     collections::BTreeMap,
@@ -25,7 +25,7 @@
 };
 use serde_json::{Value, json};
 
-pub const TIMEOUT: Duration = Duration::from_secs(40);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 pub const GROUPS: u32 = 4;
 pub const KEY: &str = "trainer-key";
 pub const MAX_TOKENS: u32 = 40;
@@ -202,7 +202,7 @@
         wait(|| self.post(at, &format!("{step}/groups"), &body).0 == 200);
     }
 
-    /// Fetches the batch once it is whole, from any entry.
+    /// Fetches the batch once it is complete, from any entry.
     #[track_caller]
     pub fn fetch(&self, at: usize, step: u64) -> Value {
         let mut batch = Value::Null;
@@ -248,9 +248,12 @@
 
 #[track_caller]
 pub fn wait(mut is_done: impl FnMut() -> bool) {
-    let end = Instant::now() + TIMEOUT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !is_done() {
-        assert!(Instant::now() < end, "condition not met within {TIMEOUT:?}");
+        assert!(
+            Instant::now() < end,
+            "condition not met within {WAIT_TIMEOUT:?}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
