--- a/crates/godwitspool-rollout/src/step/mod.rs
+++ b/crates/godwitspool-rollout/src/step/mod.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Counters for metrics, from the creation of [`TrainerSteps`] on.
+/// Counters of one host's work on a trainer's steps, from the creation of [`TrainerSteps`] on.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct StepCounts {
     /// Late or duplicate samples that were dropped.
@@ -207,7 +207,7 @@
         &self.epoch
     }
 
-    /// Returns the counters for metrics.
+    /// Returns the counters of this host's work.
     pub fn counts(&self) -> StepCounts {
         self.counts
     }
--- a/crates/godwitspool-rollout/src/step/request.rs
+++ b/crates/godwitspool-rollout/src/step/request.rs
@@ -115,7 +115,7 @@
 }
 
 impl Refusal {
-    /// Returns the reason as used in metrics, logs and answers to trainers.
+    /// Returns the reason as used in logs and in answers to trainers.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Acknowledged(_) => "acknowledged",
