--- a/crates/godwitspool-host/src/batch/mod.rs
+++ b/crates/godwitspool-host/src/batch/mod.rs
@@ -55,7 +55,7 @@
     pub retention_ms: u64,
     /// Time from the submission until its results are due, in milliseconds.
     pub due_ms: u64,
-    /// Number of failed runs after which an item ends without a result.
+    /// Number of failed runs after which an item is given up: it ends without output.
     pub attempts: u32,
     /// Whether all tokens of a result must come from one version of the model.
     pub single_version: bool,
@@ -88,7 +88,7 @@
 pub struct ItemResult {
     /// Index of the item in its batch.
     pub item: u32,
-    /// Whether the output is complete. Otherwise the item failed for good and has no output.
+    /// Whether the output is complete. Otherwise the item was given up and has no output.
     pub completed: bool,
     /// Data of all events, joined with line feeds.
     pub output: Vec<u8>,
--- a/crates/godwitspool-host/src/batch/pace.rs
+++ b/crates/godwitspool-host/src/batch/pace.rs
@@ -5,7 +5,7 @@
 const MIN_SILENCE: Millis = Millis(500);
 /// Time without data after which a run is moved, as a multiple of the median interval.
 const SILENCE_FACTOR: f64 = 10.0;
-/// Time without an answer after which a run moves from a target with a full queue to one with a
+/// Time without a response after which a run moves from a target with a full queue to one with a
 /// free slot.
 const MAX_QUEUE_WAIT: Millis = Millis(800);
 /// Number of events from which on a run's smoothed interval is meaningful.
@@ -46,7 +46,7 @@
 /// The state of a run on which [`decide_move`] decides.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunView {
-    /// Whether the target has begun to answer.
+    /// Whether the target's response has begun.
     pub answering: bool,
     /// Time since the last data arrived.
     pub silent: Millis,
@@ -61,7 +61,7 @@
 /// Why a run is moved.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Move {
-    /// The target has not begun to answer.
+    /// The target's response has not begun.
     Queued,
     /// The target has stopped sending data.
     Silent,
--- a/crates/godwitspool-host/src/batch/registry.rs
+++ b/crates/godwitspool-host/src/batch/registry.rs
@@ -12,7 +12,8 @@
 };
 use crate::{StoreBounds, http::Waker, store::Record};
 
-/// Maximum size of the results in one answer; callers accept answers of up to a megabyte.
+/// Maximum size of a page of results. The platform's interface allows responses of up to a
+/// megabyte.
 const MAX_PAGE_BYTES: usize = 900 * 1024;
 
 /// The batches of the partitions that this host owns, shared by the threads of the process.
--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -10,14 +10,15 @@
     version::{Configuration, Outcome},
 };
 
-/// Idle timeout of a run that has begun to answer. A target stops sending for about a second while
+/// Idle timeout of a run whose response has begun. A target stops sending for about a second while
 /// it loads weights, and for longer while several targets load.
 const EVENT_TIMEOUT: Millis = Millis(3_000);
-/// Timeout for the beginning of the answer: the time within which a target works off a full queue.
+/// Timeout for the head of the response: the time within which a target works off a full queue.
 const HEAD_TIMEOUT: Millis = Millis(4_000);
 /// Timeout for connecting to a target: several round trips between data centres.
 const CONNECT_TIMEOUT: Millis = Millis(300);
-/// A run moves only to a target whose interval between events is below this multiple of the median.
+/// A run moves only to a target whose interval between events is below this multiple of the median,
+/// or unknown.
 const MOVE_PACE_FACTOR: f64 = 1.5;
 /// Interval between checks for stalled runs, and for targets for the waiting items.
 const CHECK_INTERVAL: Millis = Millis(100);
@@ -281,7 +282,7 @@
             let reply = shared.dialect.reply(head);
             let spec = &self.submission.items[self.item];
             if reply.id.as_deref() != Some(&spec.id) {
-                log::warn!(item:% = spec.id, target_name:% = self.target, answered:? = reply.id; "answer belongs to another request");
+                log::warn!(item:% = spec.id, target_name:% = self.target, answered:? = reply.id; "response belongs to another request");
                 return failed(RunFailure::Broken, Outcome::Failed);
             }
             if head.status == 200
--- a/crates/godwitspool-host/src/batch/state.rs
+++ b/crates/godwitspool-host/src/batch/state.rs
@@ -100,7 +100,7 @@
         self.state != ItemState::Done && known >= self.saved_event.unwrap_or_default() + events
     }
 
-    /// Updates the counters after a broken run.
+    /// Counts consecutive broken runs without a new event.
     fn record_break(&mut self) {
         let last = self.progress.last_event;
         self.empty_runs = if last == self.break_event {
@@ -125,7 +125,8 @@
     Moved,
     /// The target didn't run the request.
     NotRun,
-    /// The output has a version that doesn't fit. It is discarded, and the next run starts over.
+    /// The output is from a version of the model that is too old, or from several where one is
+    /// required. It is discarded, and the next run starts over.
     Unusable,
 }
 
--- a/crates/godwitspool-host/src/batch/stored_results.rs
+++ b/crates/godwitspool-host/src/batch/stored_results.rs
@@ -6,7 +6,7 @@
 use super::{BatchRecord, ItemProgress, ItemResult};
 use crate::store::StoredRecord;
 
-/// Results and partial output of a partition's batches, assembled from the records of its topic.
+/// Results and partial output of batches, assembled from the records of a partition.
 #[derive(Debug, Default)]
 pub struct StoredResults {
     progress: HashMap<String, Vec<(u32, ItemProgress)>>,
@@ -76,8 +76,8 @@
         results.insert(position, Arc::new(result));
     }
 
-    /// Removes and returns a batch's results by position, up to the first missing position. A read
-    /// that overlaps an append may lack the results after it.
+    /// Removes and returns a batch's results by position, up to the first missing position, because
+    /// a read that overlaps an append may lack some of its last results.
     pub fn take_results(&mut self, batch: &str) -> Vec<Arc<ItemResult>> {
         let results = self.results.remove(batch).unwrap_or_default();
         let complete = results.into_iter().enumerate();
--- a/crates/godwitspool-host/src/dialect.rs
+++ b/crates/godwitspool-host/src/dialect.rs
@@ -16,7 +16,7 @@
 pub struct Call {
     /// Identifier that the caller gave the request, if any.
     pub id: Option<String>,
-    /// How long the caller waits for the answer; `None` if it states no limit.
+    /// How long the caller waits for the response; `None` if it states no limit.
     pub deadline: Option<Duration>,
     /// The caller's API key.
     pub key: Option<Key>,
@@ -77,14 +77,14 @@
     pub version: Option<u64>,
 }
 
-/// Header fields of a target's answer that the host evaluates.
+/// Header fields of a target's response that the host evaluates.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Reply {
-    /// Identifier of the request that is answered.
+    /// Identifier of the request to which the response belongs.
     pub id: Option<String>,
     /// Whether the target states that it has not run the request.
     pub not_run: bool,
-    /// Whether the answer carries the target's signature.
+    /// Whether the response carries the target's signature.
     pub signed: bool,
     /// Version of the model that served the request.
     pub version: Option<u64>,
@@ -115,11 +115,11 @@
     pub model: ModelName,
     /// The version to load.
     pub version: u64,
-    /// What happens to the requests that the target is running.
+    /// What happens to the model's running requests.
     pub mode: LoadMode,
 }
 
-/// What a target does with running requests when it loads a version.
+/// What a target does with a model's running requests when it loads a version.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LoadMode {
     /// They continue under the new version.
@@ -128,7 +128,7 @@
     Wait,
 }
 
-/// A target's answer to an order.
+/// A target's response to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ordered {
     /// The target has begun to load the version.
@@ -139,7 +139,7 @@
     Busy,
     /// The target has seen a higher fencing token.
     Fenced,
-    /// Another target answered, or the order was refused for another reason.
+    /// Another target responded, or the order was refused for another reason.
     Refused,
 }
 
@@ -169,7 +169,7 @@
         context: &ForwardContext<'_>,
     ) -> Request;
 
-    /// Reads the header fields of a target's answer.
+    /// Reads the header fields of a target's response.
     fn reply(&self, response: &Response) -> Reply;
 
     /// Returns a refusal, which states that the request has not run and won't run, and asks the
@@ -212,14 +212,14 @@
     /// Returns the request that orders a target to load a version.
     fn load_order(&self, order: &LoadOrder, fence: &Fence) -> Request;
 
-    /// Reads a target's answer to an order.
+    /// Reads a target's response to an order.
     fn ordered(&self, response: &Response) -> Ordered;
 }
 
 /// An event of a token stream.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StreamEvent {
-    /// Number of the event; `None` for events that carry no output.
+    /// Number of the event. The data of an event without a number is ignored.
     pub number: Option<u64>,
     /// Version of the model from this event on; `None` if it has not changed.
     pub version: Option<u64>,
@@ -268,7 +268,7 @@
     /// The call failed or its outcome is unknown; it may be retried.
     #[snafu(display("{reason}"))]
     Failed {
-        /// The underlying error, or the status and body of the answer.
+        /// The underlying error, or the status and body of the response.
         reason: String,
     },
 }
--- a/crates/godwitspool-host/src/duty/loads.rs
+++ b/crates/godwitspool-host/src/duty/loads.rs
@@ -22,7 +22,7 @@
 pub struct Loading {
     /// Name of the model.
     pub model: ModelName,
-    /// Ordered version; 0 if the target did not accept the order.
+    /// Ordered version; 0 if the target is not known to have accepted the order.
     pub version: u64,
     /// When the order was sent.
     pub since: Millis,
@@ -39,7 +39,7 @@
     pub newest_versions: &'a HashMap<ModelName, u64>,
     /// Latest load that was ordered from each target.
     pub loading: &'a HashMap<TargetName, Loading>,
-    /// What the targets do with running requests.
+    /// What the targets do with a model's running requests.
     pub mode: LoadMode,
     /// Current time.
     pub now: Millis,
@@ -48,7 +48,8 @@
 /// The urgency of a load, most urgent first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Need {
-    /// Fewer than two reachable targets can serve the model's current step.
+    /// Fewer than two reachable targets can serve the model's current step, or none if the model
+    /// has a share of at most two targets.
     Short,
     /// Fewer than half of the model's share of targets can serve the next step.
     Next,
--- a/crates/godwitspool-host/src/http/exchange.rs
+++ b/crates/godwitspool-host/src/http/exchange.rs
@@ -202,7 +202,7 @@
 
     /// Discards a response that belongs to an earlier request on a reused connection; the response
     /// to this request may follow it. Returns false and keeps the response if it can't belong to an
-    /// earlier request, if it ended with the connection, or if one was discarded already.
+    /// earlier request, if its body ends with the connection, or if one was discarded already.
     pub fn skip_response(&mut self) -> bool {
         let kept = self.connection.requests > 1;
         let framed = !matches!(self.decoder, Some(BodyDecoder::UntilClose));
--- a/crates/godwitspool-host/src/http/message.rs
+++ b/crates/godwitspool-host/src/http/message.rs
@@ -84,7 +84,8 @@
     pub method: String,
     /// Request target: path and query, undecoded.
     pub target: String,
-    /// Header fields, without those that [`encode`](Self::encode) adds.
+    /// Header fields. Those of a request to be sent must not include `Content-Length`, which
+    /// [`encode`](Self::encode) adds.
     pub headers: Headers,
     /// Body, decoded from its transfer coding.
     pub body: Vec<u8>,
--- a/crates/godwitspool-host/src/http/mod.rs
+++ b/crates/godwitspool-host/src/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 over TCP without TLS: the process's only HTTP server and client.
+//! HTTP/1.1 over TCP without TLS: one server and one client implementation for the whole process.
 //!
-//! Sockets are non-blocking, and [`wait`] polls several of them at once. A request can therefore
-//! notice that its caller has disconnected while it waits for a target.
+//! Sockets are non-blocking, and [`wait`] polls several of them at once. A thread that waits for a
+//! target can therefore notice that the caller of the request has disconnected.
 
 mod connection;
 mod decode;
--- a/crates/godwitspool-host/src/process/calls.rs
+++ b/crates/godwitspool-host/src/process/calls.rs
@@ -19,8 +19,8 @@
 /// Retry delay sent to the caller if this host has no configuration yet, or the store is
 /// unreachable.
 const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(500);
-/// Maximum time for the store calls of a request about a batch; a shorter deadline of the caller
-/// applies instead. Callers wait 1.5 s longer than the deadline that they send.
+/// Time for which the appends of a request about a batch are retried; a shorter deadline of the
+/// caller applies instead. Callers wait 1.5 s longer than the deadline that they send.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time allowed for a peer's response in addition to the time that the peer itself may wait.
 const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(600);
@@ -291,8 +291,9 @@
         })
     }
 
-    /// Forwards the request to the owner of the batch's partition. Returns `None` if no other host
-    /// is known to own it or the owner can't answer.
+    /// Forwards the request to the owner of the batch's partition. Returns `None` if the request
+    /// came from another host, if this host owns the partition, if no owner is known, or if the
+    /// owner can't respond.
     fn ask_owner<T>(&self, batch: &str, lookup: &Lookup<T>, wait: Duration) -> Option<Response> {
         if self.origin == Origin::Host || !matches!(lookup, Lookup::NotOwned) {
             return None;
--- a/crates/godwitspool-host/src/process/membership.rs
+++ b/crates/godwitspool-host/src/process/membership.rs
@@ -20,12 +20,12 @@
 pub struct Membership {
     shared: Arc<Shared>,
     duty_lease: Arc<DutyLease>,
-    owners: HashMap<u32, OwnedPartition>,
+    owners: HashMap<u32, HeldPartition>,
     generation: u64,
 }
 
-/// An owned partition.
-struct OwnedPartition {
+/// A partition that the store has assigned to this host.
+struct HeldPartition {
     owner: Owner,
     /// Generation of the group in which ownership started.
     generation: u64,
@@ -107,7 +107,7 @@
             self.duty_lease.release();
         }
         let parts: Vec<u32> = assigned(Topic::Results).collect();
-        let (kept, lost): (HashMap<u32, OwnedPartition>, HashMap<u32, OwnedPartition>) =
+        let (kept, lost): (HashMap<u32, HeldPartition>, HashMap<u32, HeldPartition>) =
             std::mem::take(&mut self.owners)
                 .into_iter()
                 .partition(|(part, _)| parts.contains(part));
@@ -136,15 +136,15 @@
         match started {
             Ok(owner) => {
                 self.owners
-                    .insert(part, OwnedPartition { owner, generation });
+                    .insert(part, HeldPartition { owner, generation });
             }
-            Err(error) => log::error!(error:%, partition = part; "cannot start partition thread"),
+            Err(error) => log::error!(error:%, partition = part; "cannot start a partition thread"),
         }
     }
 }
 
 /// Hands over partitions in parallel, since each takes several calls to the store.
-fn hand_over<'a>(held: impl Iterator<Item = &'a OwnedPartition>) {
+fn hand_over<'a>(held: impl Iterator<Item = &'a HeldPartition>) {
     thread::scope(|scope| {
         for held in held {
             scope.spawn(|| held.owner.hand_over());
--- a/crates/godwitspool-host/src/process/relay.rs
+++ b/crates/godwitspool-host/src/process/relay.rs
@@ -77,7 +77,8 @@
     /// When the store was last called directly, for each partition that is unreachable there. The
     /// key `None` stands for the hosts' group.
     unreachable: HashMap<Option<(Topic, u32)>, Instant>,
-    /// Other hosts in the order in which they are tried. A host that responds moves to the front.
+    /// Other hosts in the order in which they are tried. A host that reached the store moves to the
+    /// front, a host that didn't moves to the back.
     peers: Vec<SocketAddr>,
 }
 
@@ -280,7 +281,7 @@
         }
     }
 
-    /// Adds the hosts that hold a partition. Known hosts and seeds are kept.
+    /// Adds the hosts that hold a partition, ahead of the known hosts and seeds.
     fn add_members(&self, holdings: &[Holding]) {
         let members = holdings
             .iter()
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -14,8 +14,8 @@
 
 use super::Shared;
 
-/// Interval between reports while nothing changes. It is a fifth of the age at which receivers
-/// discard a report, because datagrams may be lost.
+/// Interval between reports of unchanged runs; a host without runs repeats no report. It is a fifth
+/// of the age at which receivers discard a report, because datagrams may be lost.
 const REPORT_INTERVAL: Millis = Millis(100);
 /// Minimum interval between reports, even if runs have changed.
 const MIN_REPORT_INTERVAL: Millis = Millis(15);
--- a/crates/godwitspool-host/src/process/tails.rs
+++ b/crates/godwitspool-host/src/process/tails.rs
@@ -18,7 +18,7 @@
 const MIN_READ_WAIT: Duration = Duration::from_millis(200);
 /// Fraction of the apply timeout reserved for applying a configuration.
 const APPLY_RESERVE_FRACTION: f64 = 0.15;
-/// Interval between reads of the targets' entries, which change several times per second. It limits
+/// Pause between reads of the targets' entries, which change several times per second. It limits
 /// the number of calls, and stays well below the time after which a leaving target must not be
 /// used.
 const TARGETS_READ_INTERVAL: Duration = Duration::from_millis(400);
--- a/crates/godwitspool-host/src/request/forward.rs
+++ b/crates/godwitspool-host/src/request/forward.rs
@@ -26,7 +26,7 @@
 /// several round trips between data centres.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(40);
 /// Retry delay sent to the caller after all targets refused or failed. By then, a target's pause
-/// after a failure has ended, or its replacement has started.
+/// after a refusal has ended, or its replacement has started.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
 /// Retry delay sent to the caller if no target of its service is available.
 const RETRY_AFTER_NO_TARGET: Duration = Duration::from_millis(500);
@@ -216,7 +216,7 @@
     }
 
     /// Sends the request to another target. Returns false if no target is left, or if the request
-    /// may not be repeated.
+    /// may not be repeated or has used up its attempts.
     fn start_attempt(&mut self, repeatable: bool) -> bool {
         let max_attempts = self.route.attempts.max(1);
         loop {
--- a/crates/godwitspool-host/src/request/mod.rs
+++ b/crates/godwitspool-host/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Handling of a caller's request for its whole duration.
+//! Forwarding of callers' requests to targets.
 
 mod forward;
 
--- a/crates/godwitspool-host/src/settings.rs
+++ b/crates/godwitspool-host/src/settings.rs
@@ -26,7 +26,7 @@
     /// Maximum time from the acknowledgement of a configuration until it is in force.
     pub apply_timeout: Duration,
     /// Lease duration of duties: a host that holds the duties again waits this long after its last
-    /// action.
+    /// action. Without fencing, every new holder waits this long.
     pub lease: Duration,
     /// Whether targets and the platform reject fencing tokens lower than one already seen.
     pub fenced: bool,
@@ -49,7 +49,7 @@
     pub record_bytes: usize,
     /// Maximum total size of the records of one append in bytes, 2 MiB by default.
     pub call_bytes: usize,
-    /// Minimum TTL of a group member without a renewal, 1 s by default.
+    /// Minimum time without a renewal after which the store removes a group member, 1 s by default.
     pub member_ttl: Duration,
 }
 
--- a/crates/godwitspool-host/src/store.rs
+++ b/crates/godwitspool-host/src/store.rs
@@ -81,13 +81,13 @@
     /// The call had no effect: the store refused it, or no connection could be made.
     #[snafu(display("nothing done: {reason}"))]
     NotDone {
-        /// The underlying error, or the status and body of the answer.
+        /// The underlying error, or the status and body of the response.
         reason: String,
     },
     /// The call may have taken effect, or may still take effect.
     #[snafu(display("unknown whether it was done: {reason}"))]
     Unknown {
-        /// The underlying error, or the status and body of the answer.
+        /// The underlying error, or the status and body of the response.
         reason: String,
     },
     /// A writer with a higher epoch has taken over, or another sequence number was expected.
--- a/crates/godwitspool-host/src/version/configuration.rs
+++ b/crates/godwitspool-host/src/version/configuration.rs
@@ -32,7 +32,7 @@
     Batch,
     /// Requests that may run more than once.
     Idempotent,
-    /// Requests that are answered with a stream of events.
+    /// Requests whose response is a stream of events.
     Stream,
 }
 
@@ -56,7 +56,7 @@
     pub prefix: String,
     /// Kind of its requests.
     pub kind: RouteKind,
-    /// Maximum time for an answer; a caller's earlier deadline takes precedence.
+    /// Maximum time until the response; a caller's earlier deadline takes precedence.
     pub timeout: Option<Duration>,
     /// Latency goal, from which the hedging delay is derived; `None` uses a default delay.
     pub goal: Option<Duration>,
@@ -65,7 +65,7 @@
     /// Services among which requests are split by weight.
     pub split: Vec<Split>,
     /// Maximum number of targets that one request is sent to. For batches, the number of failed
-    /// runs after which an item ends without a result.
+    /// runs after which an item is given up.
     pub attempts: u32,
     /// Whether callers need no API key.
     pub open: bool,
--- a/crates/godwitspool-host/src/version/fleet.rs
+++ b/crates/godwitspool-host/src/version/fleet.rs
@@ -12,7 +12,7 @@
 /// the operators state it, and some time for the order and its notice. Loads take longer if more of
 /// them overlap than planned.
 pub const LOAD_TIME: Millis = Millis(1_000);
-/// Time after which a load counts as failed if no entry or answer has shown the new version.
+/// Time after which a load counts as failed if no entry or response has shown the new version.
 const LOAD_TIMEOUT: Millis = Millis(4_000);
 /// Pause of a target after its first failure; doubles with each further consecutive failure.
 const MIN_FAILURE_BACKOFF: Millis = Millis(250);
@@ -21,11 +21,11 @@
 /// Pause of a target that refused a request because it is full or loading weights. It is a fraction
 /// of the second that a load takes.
 const REFUSED_BACKOFF: Millis = Millis(150);
-/// Pause of a target that stopped answering: at least the remaining time of a load of weights.
+/// Pause of a target that stopped responding: at least the remaining time of a load of weights.
 const STALLED_BACKOFF: Millis = Millis(400);
-/// Weight of the newest answer in a target's smoothed latency, as in TCP's round-trip estimate.
+/// Weight of the newest response in a target's smoothed latency, as in TCP's round-trip estimate.
 const LATENCY_SMOOTHING: f64 = 0.125;
-/// Assumed latency of a target that has not answered yet.
+/// Assumed latency of a target that has not responded yet.
 const INITIAL_LATENCY_MS: f64 = 20.0;
 /// How long the number of a host's newest report is kept to detect older ones.
 const REPORT_RETENTION: Millis = Millis(60_000);
@@ -59,29 +59,29 @@
     pub draining: bool,
     /// Version of each model that the target has loaded.
     pub models: HashMap<ModelName, u64>,
-    /// When the target started, in milliseconds since 1970; tells restarts apart.
+    /// When the target started, in milliseconds since 1970; distinguishes restarts.
     pub born: u64,
 }
 
 /// How an exchange with a target ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// The target answered; holds the latency in milliseconds.
+    /// The target responded; holds the latency in milliseconds.
     Answered(f64),
     /// The exchange was dropped for a reason that doesn't count against the target.
     Dropped,
-    /// The connection failed or was closed early, or the answer was invalid.
+    /// The connection failed or was closed early, or the response was invalid.
     Failed,
     /// The target refused the request because it is full or loading.
     Refused,
-    /// The target stopped answering, and the request moved to another target.
+    /// The target stopped responding, and the request moved to another target.
     Stalled,
 }
 
 /// A target with this host's observations of it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The newest entry of the target, with versions that answers have shown since.
+    /// The newest entry of the target, with versions that responses have shown since.
     pub entry: TargetEntry,
     /// Number of this host's requests that run at the target.
     pub running: u32,
@@ -93,7 +93,7 @@
     /// End of its pause. Until then requests go to it only if all other targets are paused too, and
     /// items of batches never do.
     pub paused_until: Millis,
-    /// Smoothed latency of its answers, in milliseconds.
+    /// Smoothed latency of its responses, in milliseconds.
     pub latency_ms: f64,
     /// Smoothed interval between a stream's events in milliseconds, and the time of the last
     /// update.
@@ -112,8 +112,8 @@
     pub target: TargetName,
     /// Address of the target.
     pub address: SocketAddr,
-    /// Version that the target should have loaded by now; `None` if its entry or an answer has
-    /// confirmed the version.
+    /// Version that the target should have loaded by now; `None` if its entry or a response
+    /// has confirmed the version.
     pub expected: Option<u64>,
     /// Smoothed interval between its events in milliseconds, if known.
     pub pace: Option<f64>,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Records the version of a model that a target's answer has shown.
+    /// Records the version of a model that a target's response has shown.
     pub fn observe_version(&mut self, name: &TargetName, model: &ModelName, version: u64) {
         if let Some(target) = self.targets.get_mut(name) {
             target.entry.models.insert(model.clone(), version);
@@ -301,8 +301,8 @@
         }
     }
 
-    /// Applies another host's report of its running requests, unless a newer one has arrived
-    /// before.
+    /// Applies another host's report of its running requests, unless a newer one has already
+    /// arrived.
     pub fn apply_report(&mut self, report: &RunReport, now: Millis) {
         let newest = self.reports.get(&report.sender).map(|(number, _)| *number);
         if newest.is_some_and(|newest| newest > report.number) {
@@ -341,8 +341,8 @@
     }
 
     /// Chooses the target for an item of a batch, other than `excluded`: it must have a fitting
-    /// version and a free slot, and must not be paused. Slow targets come last, then targets that
-    /// are assigned to other models; among equals the least loaded one is chosen.
+    /// version and a free slot, and must not be paused. Targets that aren't slow are preferred,
+    /// then targets that are assigned to the model; among equals the least loaded one is chosen.
     ///
     /// Load pattern: a step submits some sixty items at once. Items for which there is no free slot
     /// wait at this host, where their order can still change, instead of in a target's queue.
--- a/crates/godwitspool-host/tests/loads.rs
+++ b/crates/godwitspool-host/tests/loads.rs
@@ -85,7 +85,7 @@
             now,
         });
         for order in orders {
-            // More than two concurrent loads share the bandwidth of two.
+            // Beyond two concurrent loads, each further one takes proportionally longer.
             let slowed = (running.len() + 1).div_ceil(CONCURRENT_LOADS) as u64;
             let ends = at + LOAD_TIME.0 * slowed;
             let load = Loading {
--- a/crates/godwitspool-host/tests/mirror.rs
+++ b/crates/godwitspool-host/tests/mirror.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn keys_that_vanished_with_the_retained_log_are_removed_and_may_come_back() {
+fn keys_missing_from_a_full_read_are_removed_and_may_come_back() {
     let mut mirror = Mirror::default();
     let first = Fetched::All {
         records: vec![stored(1, "a", Some("1")), stored(2, "b", Some("1"))],
