--- a/crates/godwitspool-host/src/process/calls.rs
+++ b/crates/godwitspool-host/src/process/calls.rs
@@ -218,7 +218,7 @@
     fn append_records(
         &self,
         part: u32,
-        calls: &[Vec<crate::store::Keyed>],
+        calls: &[Vec<crate::store::Record>],
     ) -> Result<(), StoreError> {
         let due = self.due();
         let mut unknown = None;
@@ -294,7 +294,7 @@
     /// Forwards the request to the owner of the batch's partition. Returns `None` if no other host
     /// is known to own it or the owner can't answer.
     fn ask_owner<T>(&self, batch: &str, lookup: &Lookup<T>, wait: Duration) -> Option<Response> {
-        if self.origin == Origin::Host || !matches!(lookup, Lookup::Elsewhere) {
+        if self.origin == Origin::Host || !matches!(lookup, Lookup::NotOwned) {
             return None;
         }
         let shared = self.shared;
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -156,12 +156,12 @@
             match postcard::from_bytes::<Notice>(&bytes[..length]) {
                 Ok(Notice::Runs(report)) => {
                     for (part, epoch) in &report.owned {
-                        shared.owned_batches.yield_to(*part, *epoch);
+                        shared.owned_batches.observe_epoch(*part, *epoch);
                     }
                     for (model, version) in &report.named {
                         shared.learn_version(model, *version, "another host");
                     }
-                    shared.fleet().report(&report, now);
+                    shared.fleet().apply_report(&report, now);
                 }
                 Ok(Notice::Load(load)) => {
                     let LoadNotice {
--- a/crates/godwitspool-host/src/process/shared.rs
+++ b/crates/godwitspool-host/src/process/shared.rs
@@ -15,7 +15,7 @@
 use super::{Relay, UsageCounts, peers::Peers, relay::RelayMetrics, reports::Reports};
 use crate::{
     Settings,
-    batch::Book,
+    batch::BatchRegistry,
     dialect::{Dialect, Duties},
     http::Pool,
     store::Store,
@@ -55,7 +55,7 @@
     /// Idle connections to targets and other hosts.
     pub pool: Arc<Pool>,
     /// Batches of the owned partitions.
-    pub owned_batches: Arc<Book>,
+    pub owned_batches: Arc<BatchRegistry>,
     /// Counts of requests for usage reports.
     pub usage: UsageCounts,
     /// Other hosts and the partitions they hold.
@@ -133,7 +133,7 @@
         let incarnation = rand::random::<u32>();
         let member = format!("{}#{incarnation:08x}", settings.peer);
         Ok(Self {
-            owned_batches: Arc::new(Book::new(settings.store.parts)?),
+            owned_batches: Arc::new(BatchRegistry::new(settings.store.parts)?),
             clock: Clock::start(),
             configuration: RwLock::default(),
             dialect: adapters.dialect,
