--- a/crates/godwitspool-measure/src/capacity/mod.rs
+++ b/crates/godwitspool-measure/src/capacity/mod.rs
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 /// A file can't be read, a slope is missing, or the page lacks a table's markers.
-pub fn page_agrees(folder: &Path, page: &Path) -> Result<bool, CapacityError> {
+pub fn page_matches(folder: &Path, page: &Path) -> Result<bool, CapacityError> {
     let text = read(page)?;
     Ok(page::fill(&text, &tables(folder)?)? == text)
 }
--- a/crates/godwitspool-measure/src/capacity/roles.rs
+++ b/crates/godwitspool-measure/src/capacity/roles.rs
@@ -34,7 +34,7 @@
     let mut csv = Table::new("capacity", &columns);
     for table in tables {
         for row in &table.rows {
-            csv.row([
+            csv.push_row([
                 table.name.to_owned(),
                 row.quantity.to_owned(),
                 row.rounded(),
--- a/crates/godwitspool-measure/src/command.rs
+++ b/crates/godwitspool-measure/src/command.rs
@@ -113,9 +113,9 @@
     /// ```
     /// use godwitspool_measure::Command;
     ///
-    /// assert!(Command::named("no such table").is_none());
+    /// assert!(Command::by_name("no such table").is_none());
     /// ```
-    pub fn named(name: &str) -> Option<&'static Self> {
+    pub fn by_name(name: &str) -> Option<&'static Self> {
         Self::ALL.iter().find(|command| command.name == name)
     }
 }
--- a/crates/godwitspool-measure/src/control/in_force.rs
+++ b/crates/godwitspool-measure/src/control/in_force.rs
@@ -36,9 +36,9 @@
     ];
     let mut table = Table::new("in-force", &columns);
     for (hosts, dcs) in [(11, 3), (11, 4), (40, 1), (40, 4)] {
-        table.row(row(hosts, dcs, 0, options.seed));
+        table.push_row(row(hosts, dcs, 0, options.seed));
     }
-    table.row(row(11, 3, 300, options.seed));
+    table.push_row(row(11, 3, 300, options.seed));
     vec![table]
 }
 
--- a/crates/godwitspool-measure/src/control/log.rs
+++ b/crates/godwitspool-measure/src/control/log.rs
@@ -37,7 +37,7 @@
             replica.apply(page).expect("offsets are in order");
         }
         let seconds = begun.elapsed().as_secs_f64();
-        table.row([
+        table.push_row([
             RECORDS.to_string(),
             name.to_owned(),
             (bytes / RECORDS).to_string(),
@@ -104,7 +104,7 @@
         let text = fold.snapshot();
         let write_us = time_us(TIMED, || fold.snapshot());
         let load_us = time_us(TIMED, || Fold::restore(&text).is_ok());
-        table.row([
+        table.push_row([
             workspaces.to_string(),
             keys.to_string(),
             quarantined.to_string(),
--- a/crates/godwitspool-measure/src/control/membership.rs
+++ b/crates/godwitspool-measure/src/control/membership.rs
@@ -69,7 +69,7 @@
                 .map(|gone| gone.all_ms)
                 .max()
                 .unwrap_or_default();
-            table.row([
+            table.push_row([
                 hosts.to_string(),
                 format!("{:.0}", loss * 100.0),
                 KILLS.to_string(),
@@ -119,7 +119,7 @@
             net.run_for(WATCHED);
             let counts = || net.hosts.iter().map(|host| host.membership.counts());
             let hours = hosts as f64 * WATCHED.seconds() / 3_600.0;
-            table.row([
+            table.push_row([
                 hosts.to_string(),
                 format!("{:.0}", loss * 100.0),
                 format!("{hours:.1}"),
@@ -153,7 +153,7 @@
     let mut table = Table::new("membership-load", &columns);
     for (hosts, dcs) in [(10, 0), (50, 0), (131, 0), (4, 2), (131, FAR_DCS)] {
         for loss in LOSSES {
-            table.row(load_row(hosts, dcs, loss, seed));
+            table.push_row(load_row(hosts, dcs, loss, seed));
         }
     }
     table
@@ -239,7 +239,7 @@
             .iter()
             .map(|gossip| gossip.counts().membership.downs)
             .sum();
-        table.row([
+        table.push_row([
             hosts.to_string(),
             SOCKET_RUN.as_secs().to_string(),
             format!("{:.0}", bytes as f64 / seconds),
--- a/crates/godwitspool-measure/src/fit.rs
+++ b/crates/godwitspool-measure/src/fit.rs
@@ -27,10 +27,10 @@
     /// use godwitspool_measure::{Fit, Point};
     ///
     /// let points = [1.0, 2.0, 3.0].map(|x| Point { x, y: 2.0 * x + 1.0 });
-    /// let fit = Fit::through(&points).unwrap();
-    /// assert!((fit.at(10.0) - 21.0).abs() < 1e-9);
+    /// let fit = Fit::least_squares(&points).unwrap();
+    /// assert!((fit.value_at(10.0) - 21.0).abs() < 1e-9);
     /// ```
-    pub fn through(points: &[Point]) -> Option<Self> {
+    pub fn least_squares(points: &[Point]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
@@ -63,7 +63,7 @@
     }
 
     /// Returns the line's value at a size.
-    pub fn at(&self, x: f64) -> f64 {
+    pub fn value_at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
--- a/crates/godwitspool-measure/src/handover.rs
+++ b/crates/godwitspool-measure/src/handover.rs
@@ -34,7 +34,7 @@
     for term in TERMS {
         for (end, graceful) in [("killed", false), ("stopped", true)] {
             match measure(term, graceful) {
-                Ok(spans) => table.row(row(term, end, &spans)),
+                Ok(spans) => table.push_row(row(term, end, &spans)),
                 Err(error) => eprintln!("handover at a term of {term} is missing: {error}"),
             }
         }
--- a/crates/godwitspool-measure/src/main.rs
+++ b/crates/godwitspool-measure/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::{path::Path, process::ExitCode};
 
-use godwitspool_measure::{Command, Options, draw, page_agrees, write_page};
+use godwitspool_measure::{Command, Options, draw_plots, page_matches, write_page};
 use lexopt::prelude::{Long, Short, Value, ValueExt};
 
 /// Command that works the capacity page out of the measured slopes.
@@ -55,7 +55,7 @@
         Some(PLOTS) if !check => Ok(Ask::Plots(options)),
         Some(CAPACITY) => Ok(Ask::Capacity { check, options }),
         Some(_) if check => Err("--check goes with capacity only".into()),
-        Some(name) => match Command::named(name) {
+        Some(name) => match Command::by_name(name) {
             Some(command) => Ok(Ask::Run(command, options)),
             None => Err(format!("no command {name:?}; see --help").into()),
         },
@@ -85,7 +85,7 @@
 fn capacity(check: bool, options: &Options) -> ExitCode {
     let page = Path::new(CAPACITY_PAGE);
     let result = if check {
-        page_agrees(&options.out, page)
+        page_matches(&options.out, page)
     } else {
         write_page(&options.out, page).map(|tables| {
             for table in tables {
@@ -111,7 +111,7 @@
 }
 
 fn plots(options: &Options) -> ExitCode {
-    match draw(&options.out) {
+    match draw_plots(&options.out) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("godwitspool-measure: {}: {error}", options.out.display());
--- a/crates/godwitspool-measure/src/plots.rs
+++ b/crates/godwitspool-measure/src/plots.rs
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// A CSV can't be read or a plot can't be written.
-pub fn draw(folder: &Path) -> io::Result<()> {
+pub fn draw_plots(folder: &Path) -> io::Result<()> {
     let rows: Vec<SlopeRow> = read(&folder.join("slopes.csv"))?;
     for name in SLOPES {
         let of_series: Vec<_> = rows.iter().filter(|row| row.series == name).collect();
--- a/crates/godwitspool-measure/src/policies/scaling.rs
+++ b/crates/godwitspool-measure/src/policies/scaling.rs
@@ -37,7 +37,7 @@
             ("threshold", Policy::Threshold { moved: Millis(0) }),
             ("break-even", Policy::break_even()),
         ] {
-            table.row(row(name, seed, simulate(policy, seed)));
+            table.push_row(row(name, seed, simulate(policy, seed)));
         }
     }
     vec![table]
--- a/crates/godwitspool-measure/src/usage_of_process.rs
+++ b/crates/godwitspool-measure/src/process_usage.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProcessUsage {
     /// Processor time in microseconds, in steps of 10 ms.
-    pub(crate) processor_us: f64,
+    pub(crate) cpu_us: f64,
     /// Resident memory in bytes.
     pub(crate) resident_bytes: f64,
 }
@@ -30,7 +30,7 @@
             .collect();
         let field = |index: usize| fields.get(index).copied().unwrap_or(0.0);
         Ok(Self {
-            processor_us: (field(USER_TICKS) + field(SYSTEM_TICKS)) / TICKS_PER_S * 1e6,
+            cpu_us: (field(USER_TICKS) + field(SYSTEM_TICKS)) / TICKS_PER_S * 1e6,
             resident_bytes: field(RESIDENT_PAGES) * PAGE_BYTES,
         })
     }
@@ -39,7 +39,7 @@
 /// Returns the processor time in microseconds of the living threads of a name.
 ///
 /// A thread without a name of its own has the name of the thread that started it.
-pub(crate) fn threads_us(name: &str) -> io::Result<f64> {
+pub(crate) fn threads_cpu_us(name: &str) -> io::Result<f64> {
     let mut sum = 0.0;
     for entry in fs::read_dir("/proc/self/task")? {
         let path = entry?.path();
@@ -52,7 +52,7 @@
 }
 
 /// Returns the processor time in microseconds of the calling thread.
-pub(crate) fn own_thread_us() -> io::Result<f64> {
+pub(crate) fn own_thread_cpu_us() -> io::Result<f64> {
     schedule_us(Path::new("/proc/thread-self"))
 }
 
--- a/crates/godwitspool-measure/src/rollout/idle.rs
+++ b/crates/godwitspool-measure/src/rollout/idle.rs
@@ -45,7 +45,7 @@
         Fault::Reclaim,
     ] {
         match train(fault) {
-            Ok(row) => table.row(row),
+            Ok(row) => table.push_row(row),
             Err(error) => eprintln!("idle through {fault:?} is missing: {error}"),
         }
     }
--- a/crates/godwitspool-measure/src/rollout/mod.rs
+++ b/crates/godwitspool-measure/src/rollout/mod.rs
@@ -1,15 +1,15 @@
 //! Rollouts: stragglers, shares, staleness, the cost of a waiting sample, and idle trainers.
 
 mod idle;
-mod lab;
 mod samples;
 mod shares;
 mod staleness;
 mod step_run;
+mod steps_harness;
 mod stragglers;
 mod trainer_system;
 
-pub(crate) use lab::Lab;
+pub(crate) use steps_harness::StepsHarness;
 
 use crate::{Options, Table};
 
--- a/crates/godwitspool-measure/src/rollout/samples.rs
+++ b/crates/godwitspool-measure/src/rollout/samples.rs
@@ -4,7 +4,7 @@
 
 use godwitspool_rollout::{Answer, StepRules};
 
-use super::lab::Lab;
+use super::steps_harness::StepsHarness;
 use crate::Table;
 
 const SIZES: [u32; 4] = [100, 1_000, 10_000, 100_000];
@@ -24,7 +24,7 @@
     ];
     let mut table = Table::new("samples", &columns);
     for size in SIZES {
-        table.row(row(size));
+        table.push_row(row(size));
     }
     table
 }
@@ -34,7 +34,7 @@
         max_open_samples: u32::MAX,
         ..StepRules::default()
     };
-    let mut lab = Lab::new(rules);
+    let mut lab = StepsHarness::new(rules);
     let each = |micros: f64| format!("{:.2}", micros / f64::from(size));
     let groups = size.div_ceil(SAMPLES);
     let submit = micros(|| lab.submit(1, groups, SAMPLES));
--- a/crates/godwitspool-measure/src/rollout/shares.rs
+++ b/crates/godwitspool-measure/src/rollout/shares.rs
@@ -26,7 +26,7 @@
         ("shares-half-come-and-go", by_shares(seed, true)),
     ] {
         let (mean, worst) = errors(&got);
-        table.row([
+        table.push_row([
             policy.to_owned(),
             TRAINERS.to_string(),
             STARTS.to_string(),
--- a/crates/godwitspool-measure/src/rollout/staleness.rs
+++ b/crates/godwitspool-measure/src/rollout/staleness.rs
@@ -4,7 +4,7 @@
 use godwitspool_types::WeightVersion;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use super::lab::Lab;
+use super::steps_harness::StepsHarness;
 use crate::Table;
 
 const STEPS: u64 = 100;
@@ -28,14 +28,14 @@
         row.extend(ages.iter().map(u64::to_string));
         row.push(remade.to_string());
         row.push(ages.iter().sum::<u64>().to_string());
-        table.row(row);
+        table.push_row(row);
     }
     table
 }
 
 fn run(seed: u64, bound: u32) -> ([u64; OLDEST], u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut lab = Lab::new(StepRules {
+    let mut lab = StepsHarness::new(StepRules {
         page_samples: usize::MAX,
         staleness_versions: bound,
         ..StepRules::default()
@@ -89,6 +89,6 @@
     format!("v{number}").into()
 }
 
-fn publish(lab: &mut Lab, number: u32) {
+fn publish(lab: &mut StepsHarness, number: u32) {
     lab.tell(StepEvent::Published(version(number)));
 }
--- a/crates/godwitspool-measure/src/rollout/lab.rs
+++ b/crates/godwitspool-measure/src/rollout/steps_harness.rs
@@ -6,13 +6,13 @@
 };
 use godwitspool_types::{Millis, WeightVersion};
 
-pub(crate) struct Lab {
+pub(crate) struct StepsHarness {
     pub(crate) now: Millis,
     pub(crate) started: Vec<(u64, SampleId)>,
     pub(crate) steps: TrainerSteps,
 }
 
-impl Lab {
+impl StepsHarness {
     pub(crate) fn new(rules: StepRules) -> Self {
         let mut lab = Self {
             now: Millis::ZERO,
--- a/crates/godwitspool-measure/src/rollout/stragglers.rs
+++ b/crates/godwitspool-measure/src/rollout/stragglers.rs
@@ -46,7 +46,7 @@
         let least = least_s(kind, seed);
         for policy in [Policy::None, Policy::FixedHedge, Policy::Predicted] {
             let outcome = step(kind, policy, seed);
-            table.row([
+            table.push_row([
                 format!("{kind:?}"),
                 format!("{policy:?}"),
                 format!("{:.1}", outcome.step_s),
--- a/crates/godwitspool-measure/src/series.rs
+++ b/crates/godwitspool-measure/src/series.rs
@@ -16,7 +16,7 @@
     /// Name, unique among all series.
     pub name: &'static str,
     /// What the size counts.
-    pub of: &'static str,
+    pub size_unit: &'static str,
     /// Sizes and figures.
     pub points: Vec<Point>,
     /// Unit of the figure.
@@ -34,7 +34,7 @@
     /// ```
     pub fn measure(
         name: &'static str,
-        of: &'static str,
+        size_unit: &'static str,
         unit: &'static str,
         sizes: &[usize],
         mut figure: impl FnMut(usize) -> f64,
@@ -48,18 +48,18 @@
             .collect();
         Self {
             name,
-            of,
+            size_unit,
             points,
             unit,
         }
     }
 
-    /// Adds the points to a table with the columns of [`Series::table`].
-    pub fn add_to(&self, table: &mut Table) {
+    /// Adds the points to a table with the columns of [`Series::points_table`].
+    pub fn append_to(&self, table: &mut Table) {
         for point in &self.points {
-            table.row([
+            table.push_row([
                 self.name.to_owned(),
-                self.of.to_owned(),
+                self.size_unit.to_owned(),
                 point.x.to_string(),
                 format!("{:.4}", point.y),
                 self.unit.to_owned(),
@@ -68,13 +68,13 @@
     }
 
     /// Starts a table of points.
-    pub fn table(name: &str) -> Table {
+    pub fn points_table(name: &str) -> Table {
         Table::new(name, &["series", "of", "size", "figure", "unit"])
     }
 
     /// Returns the line through the points; `None` for fewer than two sizes.
     pub fn fit(&self) -> Option<Fit> {
-        Fit::through(&self.points)
+        Fit::least_squares(&self.points)
     }
 }
 
--- a/crates/godwitspool-measure/src/serving/admission.rs
+++ b/crates/godwitspool-measure/src/serving/admission.rs
@@ -96,7 +96,7 @@
                     worst_ok = worst_ok.min(ok);
                     whole += latency;
                 }
-                each.row([
+                each.push_row([
                     load.name.to_owned(),
                     policy.name().to_owned(),
                     format!("w{workspace}"),
@@ -111,7 +111,7 @@
             if load.training == 0 && load.surge <= 1.0 {
                 alone = p99;
             }
-            all.row([
+            all.push_row([
                 load.name.to_owned(),
                 policy.name().to_owned(),
                 format!("{p99:.0}"),
--- a/crates/godwitspool-measure/src/serving/decisions.rs
+++ b/crates/godwitspool-measure/src/serving/decisions.rs
@@ -46,7 +46,7 @@
             let scan = time_us(CALLS / 10, || {
                 black_box(ids.iter().min_by_key(|id| targets.load(**id)).copied())
             });
-            table.row([
+            table.push_row([
                 size.to_string(),
                 fill.to_owned(),
                 format!("{choice:.3}"),
--- a/crates/godwitspool-measure/src/serving/herd.rs
+++ b/crates/godwitspool-measure/src/serving/herd.rs
@@ -19,7 +19,7 @@
             let (factor, mut latencies) = simulate(policy, lag_ms, options.seed);
             latencies.sort_unstable();
             let at = |part: f64| latencies[(latencies.len() as f64 * part) as usize].to_string();
-            table.row([
+            table.push_row([
                 lag_ms.to_string(),
                 policy.name().to_owned(),
                 format!("{factor:.2}"),
--- a/crates/godwitspool-measure/src/serving/latency.rs
+++ b/crates/godwitspool-measure/src/serving/latency.rs
@@ -34,10 +34,10 @@
     match measure() {
         Ok(paths) => {
             for path in &paths {
-                table.row(path.cells());
+                table.push_row(path.cells());
             }
             let added = |part: f64| paths[1].at(part) - paths[0].at(part);
-            table.row([
+            table.push_row([
                 "added".to_owned(),
                 String::new(),
                 String::new(),
--- a/crates/godwitspool-measure/src/serving/poison.rs
+++ b/crates/godwitspool-measure/src/serving/poison.rs
@@ -46,7 +46,7 @@
         let crashed: usize = outcomes.iter().map(|outcome| outcome.crashed).sum();
         let most = outcomes.iter().map(|outcome| outcome.crashed).max();
         let innocents: usize = outcomes.iter().map(|outcome| outcome.innocents).sum();
-        table.row([
+        table.push_row([
             name.to_owned(),
             RUNS.to_string(),
             format!("{:.2}", crashed as f64 / RUNS as f64),
--- a/crates/godwitspool-measure/src/serving/retries.rs
+++ b/crates/godwitspool-measure/src/serving/retries.rs
@@ -43,7 +43,7 @@
         ];
         for (policy, run) in policies {
             let outcome = run(failing, options.seed);
-            table.row([
+            table.push_row([
                 name.to_owned(),
                 policy.to_owned(),
                 format!("{:.4}", outcome.attempts as f64 / REQUESTS as f64 - 1.0),
--- a/crates/godwitspool-measure/src/serving/silence.rs
+++ b/crates/godwitspool-measure/src/serving/silence.rs
@@ -79,7 +79,7 @@
             for policy in policies {
                 let (found, cut) = simulate(policy, gaps, pace_ms, options.seed);
                 let at = |part: f64| found[(found.len() as f64 * part) as usize].to_string();
-                table.row([
+                table.push_row([
                     pace_ms.to_string(),
                     gaps.name().to_owned(),
                     policy.name(),
--- a/crates/godwitspool-measure/src/slopes/mod.rs
+++ b/crates/godwitspool-measure/src/slopes/mod.rs
@@ -11,7 +11,7 @@
 
 /// Measures every slope and fits a line to each.
 pub(crate) fn run(options: &Options) -> Vec<Table> {
-    let mut points = Series::table("slopes");
+    let mut points = Series::points_table("slopes");
     let columns = [
         "series",
         "of",
@@ -22,11 +22,11 @@
     ];
     let mut fits = Table::new("fits", &columns);
     for series in measure_all(options) {
-        series.add_to(&mut points);
+        series.append_to(&mut points);
         if let Some(fit) = series.fit() {
-            fits.row([
+            fits.push_row([
                 series.name.to_owned(),
-                series.of.to_owned(),
+                series.size_unit.to_owned(),
                 series.unit.to_owned(),
                 format!("{:.4}", fit.intercept),
                 format!("{:.6}", fit.slope),
--- a/crates/godwitspool-measure/src/slopes/rollout.rs
+++ b/crates/godwitspool-measure/src/slopes/rollout.rs
@@ -4,7 +4,7 @@
 
 use godwitspool_rollout::StepRules;
 
-use crate::{rollout::Lab, series::Series};
+use crate::{rollout::StepsHarness, series::Series};
 
 const SAMPLES_OF_GROUP: u32 = 8;
 const SIZES: [usize; 4] = [100, 1_000, 10_000, 30_000];
@@ -39,7 +39,7 @@
             max_open_samples: u32::MAX,
             ..StepRules::default()
         };
-        let mut lab = Lab::new(rules);
+        let mut lab = StepsHarness::new(rules);
         let start = Instant::now();
         lab.submit(1, samples.div_ceil(SAMPLES_OF_GROUP), SAMPLES_OF_GROUP);
         let waiting_bytes = lab.steps.image().bytes() as f64;
--- a/crates/godwitspool-measure/src/slopes/stream.rs
+++ b/crates/godwitspool-measure/src/slopes/stream.rs
@@ -13,9 +13,9 @@
 use godwitspool_fakes::EngineOptions;
 
 use crate::{
+    process_usage::{ProcessUsage, own_thread_cpu_us, threads_cpu_us},
     series::Series,
-    system::{Caller, STAND_INS, System},
-    usage_of_process::{ProcessUsage, own_thread_us, threads_us},
+    system::{Caller, FAKES_THREAD, System},
 };
 
 const CALLERS: usize = 16;
@@ -64,7 +64,7 @@
 
 /// Returns the entry's processor time in a round of requests.
 fn round_us(system: &System, tokens: u32) -> io::Result<f64> {
-    let before = ProcessUsage::read()?.processor_us - threads_us(STAND_INS)?;
+    let before = ProcessUsage::read()?.cpu_us - threads_cpu_us(FAKES_THREAD)?;
     let callers_us = thread::scope(|scope| {
         let callers: Vec<_> = (0..CALLERS)
             .map(|index| {
@@ -73,7 +73,7 @@
                     for request in 0..REQUESTS {
                         caller.generate(&format!("prompt {index} {request}"), tokens)?;
                     }
-                    own_thread_us()
+                    own_thread_cpu_us()
                 })
             })
             .collect();
@@ -84,7 +84,7 @@
             own.map(|own| sum + own)
         })
     })?;
-    let after = ProcessUsage::read()?.processor_us - threads_us(STAND_INS)?;
+    let after = ProcessUsage::read()?.cpu_us - threads_cpu_us(FAKES_THREAD)?;
     Ok(after - before - callers_us)
 }
 
--- a/crates/godwitspool-measure/src/system.rs
+++ b/crates/godwitspool-measure/src/system.rs
@@ -26,7 +26,7 @@
 const MODEL: &str = "model";
 const SERVICE: &str = "party/chat";
 /// Name of the stand-ins' threads.
-pub(crate) const STAND_INS: &str = "stand-ins";
+pub(crate) const FAKES_THREAD: &str = "stand-ins";
 const START_BOUND: Duration = Duration::from_secs(20);
 
 /// One entry and one steward before a platform and its engines, all in this process.
@@ -41,7 +41,7 @@
     /// Starts the stand-ins and the daemons, and waits until the entry serves.
     pub(crate) fn start(engines: u32, options: EngineOptions) -> io::Result<Self> {
         // The stand-ins' threads take over the name of the thread that starts them.
-        let starter = thread::Builder::new().name(STAND_INS.to_owned());
+        let starter = thread::Builder::new().name(FAKES_THREAD.to_owned());
         let platform = starter
             .spawn(move || start_platform(engines, options))?
             .join()
--- a/crates/godwitspool-measure/src/table.rs
+++ b/crates/godwitspool-measure/src/table.rs
@@ -8,7 +8,7 @@
 /// use godwitspool_measure::Table;
 ///
 /// let mut table = Table::new("squares", &["n", "square"]);
-/// table.row([2.to_string(), 4.to_string()]);
+/// table.push_row([2.to_string(), 4.to_string()]);
 /// assert!(table.to_string().contains("square"));
 /// ```
 #[derive(Clone, Debug)]
@@ -33,7 +33,7 @@
     ///
     /// # Panics
     /// The number of cells differs from the number of columns.
-    pub fn row(&mut self, cells: impl IntoIterator<Item = String>) {
+    pub fn push_row(&mut self, cells: impl IntoIterator<Item = String>) {
         let cells: Vec<_> = cells.into_iter().collect();
         assert_eq!(
             cells.len(),
--- a/crates/godwitspool-measure/tests/capacity.rs
+++ b/crates/godwitspool-measure/tests/capacity.rs
@@ -2,15 +2,15 @@
 
 use std::{fs, path::Path};
 
-use godwitspool_measure::{page_agrees, write_page};
+use godwitspool_measure::{page_matches, write_page};
 
 const MEASUREMENTS: &str = "../../docs/measurements";
 const PAGE: &str = "../../docs/CAPACITY.md";
 const SERIES: &str = "usage-message-bytes,requests,bytes,";
 
 #[test]
-fn page_agrees_with_the_slopes() {
-    assert!(page_agrees(Path::new(MEASUREMENTS), Path::new(PAGE)).unwrap());
+fn page_matches_the_slopes() {
+    assert!(page_matches(Path::new(MEASUREMENTS), Path::new(PAGE)).unwrap());
 }
 
 #[test]
@@ -27,8 +27,8 @@
     fs::write(folder.join("fits.csv"), changed).unwrap();
     let page = folder.join("CAPACITY.md");
     fs::copy(PAGE, &page).unwrap();
-    assert!(!page_agrees(&folder, &page).unwrap());
+    assert!(!page_matches(&folder, &page).unwrap());
     write_page(&folder, &page).unwrap();
-    assert!(page_agrees(&folder, &page).unwrap());
+    assert!(page_matches(&folder, &page).unwrap());
     fs::remove_dir_all(&folder).unwrap();
 }
