--- a/crates/godwitspool-measure/src/command.rs
+++ b/crates/godwitspool-measure/src/command.rs
@@ -1,119 +1,119 @@
-//! The commands by name.
+//! The measurement commands, looked up by name.
 
 use crate::{Options, Table, control, handover, policies, rollout, serving, slopes};
 
-/// A measurement.
+/// A measurement that can be run from the command line.
 #[derive(Clone, Copy, Debug)]
 pub struct Command {
-    /// What it measures, in a line.
+    /// One line of help text.
     pub about: &'static str,
-    /// Name on the command line.
+    /// Name on the command line, unique among all commands.
     pub name: &'static str,
-    /// Measures and returns the tables.
+    /// Runs the measurement and returns its tables.
     pub run: fn(&Options) -> Vec<Table>,
 }
 
 impl Command {
-    /// Every command, in order of name.
+    /// All commands, in the order in which the help text lists them.
     pub const ALL: &'static [Self] = &[
         Self {
-            about: "trainers' idle time through faults, over real sockets",
+            about: "idle time of a trainer during faults, over real sockets",
             name: "idle",
             run: rollout::idle,
         },
         Self {
-            about: "time without a holder after the holder of a lease is killed or leaves",
+            about: "time without a lease holder after the holder is killed or stopped",
             name: "handover",
             run: handover::run,
         },
         Self {
-            about: "workspaces' latency under a training flood and a surge, against no admission control",
+            about: "latency by workspace under a training flood and a surge, by policy",
             name: "admission",
             run: serving::admission,
         },
         Self {
-            about: "cost of a choice and of a load report at several sizes of the fleet",
+            about: "CPU time of choosing a target and of a load report, by fleet size",
             name: "decisions",
             run: serving::decisions,
         },
         Self {
-            about: "unevenness of engines' loads when reports lag",
+            about: "load imbalance among engines when load reports are delayed",
             name: "herd",
             run: serving::herd,
         },
         Self {
-            about: "time from a record's acceptance to its being in force on every host",
+            about: "time from appending a record until it is in force on every host",
             name: "in-force",
             run: control::in_force,
         },
         Self {
-            about: "latency that the entry adds, over real sockets",
+            about: "latency that the entry adds to a request, over real sockets",
             name: "latency",
             run: serving::latency,
         },
         Self {
-            about: "replay of the log, and the size and load time of snapshots",
+            about: "replay rate of the log, and size and load time of snapshots",
             name: "log",
             run: control::log,
         },
         Self {
-            about: "detection of dead hosts, hosts removed wrongly, bytes and processor time",
+            about: "failure detection time, false positives, bytes and CPU time of membership",
             name: "membership",
             run: control::membership,
         },
         Self {
-            about: "targets that a poison crashes",
+            about: "number of targets that a poison request crashes",
             name: "poison",
             run: serving::poison,
         },
         Self {
-            about: "extra load from retries when targets fail",
+            about: "extra load from retries when targets fail, by policy",
             name: "retries",
             run: serving::retries,
         },
         Self {
-            about: "bytes and time of waiting samples",
+            about: "memory and CPU time per sample of a step",
             name: "samples",
             run: rollout::samples,
         },
         Self {
-            about: "target cost and waits: the scaling policy, a fixed fleet, a simple threshold",
+            about: "cost and wait times: scaling policy, fixed fleet and simple threshold",
             name: "scaling",
             run: policies::scaling,
         },
         Self {
-            about: "how near 12 trainers come to their shares",
+            about: "how closely 12 trainers get their configured shares",
             name: "shares",
             run: rollout::shares,
         },
         Self {
-            about: "time to find a silent connection, and live streams cut",
+            about: "time to detect a silent connection, and live streams that are cut",
             name: "silence",
             run: serving::silence,
         },
         Self {
-            about: "what a unit more of each thing costs, with a line fitted to each",
+            about: "cost per host, target, token and so on, with fitted lines",
             name: "slopes",
             run: slopes::run,
         },
         Self {
-            about: "ages of samples at delivery",
+            about: "ages of samples at delivery, in weight versions",
             name: "staleness",
             run: rollout::staleness,
         },
         Self {
-            about: "step times with stragglers, by policy",
+            about: "step times with stragglers, by policy and kind of straggler",
             name: "stragglers",
             run: rollout::stragglers,
         },
     ];
 
-    /// Finds a command.
+    /// Returns the command of this name, or `None` if there is none.
     ///
     /// ```
     /// use godwitspool_measure::Command;
     ///
-    /// assert!(Command::by_name("no such table").is_none());
+    /// assert!(Command::by_name("no such command").is_none());
     /// ```
     pub fn by_name(name: &str) -> Option<&'static Self> {
         Self::ALL.iter().find(|command| command.name == name)
--- a/crates/godwitspool-measure/src/fit.rs
+++ b/crates/godwitspool-measure/src/fit.rs
@@ -1,27 +1,27 @@
-//! A straight line through measured points.
+//! Linear fit of measured points.
 
-/// A straight line through points, by least squares.
+/// A straight line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Value at zero.
+    /// Value of the line at size zero.
     pub intercept: f64,
-    /// Largest distance of a point from the line, as a share of the largest value.
+    /// Largest vertical distance of a point from the line, divided by the largest absolute value.
     pub residual: f64,
-    /// Change of the value for each unit.
+    /// Increase of the value per unit of size.
     pub slope: f64,
 }
 
 /// A measured point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Size.
+    /// Size at which the value was measured.
     pub x: f64,
-    /// Figure at that size.
+    /// Measured value at that size.
     pub y: f64,
 }
 
 impl Fit {
-    /// Fits a line; `None` for fewer than two sizes.
+    /// Fits a line. Returns `None` for fewer than two different sizes.
     ///
     /// ```
     /// use godwitspool_measure::{Fit, Point};
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Returns the line's value at a size.
+    /// Returns the value of the line at size `x`.
     pub fn value_at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
--- a/crates/godwitspool-measure/src/handover.rs
+++ b/crates/godwitspool-measure/src/handover.rs
@@ -1,4 +1,4 @@
-//! Time without a holder after the holder of the orders lease is killed or leaves.
+//! Time without a holder of the orders lease after its holder is killed or stopped.
 
 use std::{
     io, thread,
@@ -14,12 +14,13 @@
 use crate::{Options, Table};
 
 const HOSTS: usize = 3;
-const LOOK: Duration = Duration::from_millis(5);
-const PATIENCE: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(30);
 const ROUNDS: usize = 4;
-const TERMS: [Millis; 2] = [Millis(1_000), Millis(3_000)];
+const LEASE_TERMS: [Millis; 2] = [Millis(1_000), Millis(3_000)];
 
-/// Kills holders, lets others leave, and tells how long nobody was in charge.
+/// Kills or stops the holder several times per lease term and measures the time until another
+/// steward holds the lease.
 pub(crate) fn run(_options: &Options) -> Vec<Table> {
     let columns = [
         "term_ms",
@@ -31,26 +32,26 @@
         "mean_terms",
     ];
     let mut table = Table::new("handover", &columns);
-    for term in TERMS {
+    for term in LEASE_TERMS {
         for (end, graceful) in [("killed", false), ("stopped", true)] {
             match measure(term, graceful) {
-                Ok(spans) => table.push_row(row(term, end, &spans)),
-                Err(error) => eprintln!("handover at a term of {term} is missing: {error}"),
+                Ok(gaps_ms) => table.push_row(row(term, end, &gaps_ms)),
+                Err(error) => eprintln!("handover at a term of {term} was not measured: {error}"),
             }
         }
     }
     vec![table]
 }
 
-fn row(term: Millis, end: &str, spans: &[u64]) -> [String; 7] {
-    let mean = spans.iter().sum::<u64>() as f64 / spans.len().max(1) as f64;
+fn row(term: Millis, end: &str, gaps_ms: &[u64]) -> [String; 7] {
+    let mean = gaps_ms.iter().sum::<u64>() as f64 / gaps_ms.len().max(1) as f64;
     [
         term.0.to_string(),
         end.to_owned(),
-        spans.len().to_string(),
-        spans.iter().min().copied().unwrap_or(0).to_string(),
+        gaps_ms.len().to_string(),
+        gaps_ms.iter().min().copied().unwrap_or(0).to_string(),
         format!("{mean:.0}"),
-        spans.iter().max().copied().unwrap_or(0).to_string(),
+        gaps_ms.iter().max().copied().unwrap_or(0).to_string(),
         format!("{:.2}", mean / term.0 as f64),
     ]
 }
@@ -59,28 +60,28 @@
     let platform = Platform::start(PlatformOptions::default())?;
     let mut stewards = Vec::new();
     for number in 0..HOSTS {
-        stewards.push(start(&platform, number, term)?);
+        stewards.push(start_steward(&platform, number, term)?);
     }
-    let mut spans = Vec::new();
+    let mut gaps_ms = Vec::new();
     for round in 0..ROUNDS {
-        list(&platform, &stewards);
+        publish_hosts(&platform, &stewards);
         let holder = wait_for_holder(&stewards)?;
-        let ended = stewards.remove(holder);
-        let begun = Instant::now();
+        let old_holder = stewards.remove(holder);
+        let ended_at = Instant::now();
         if graceful {
-            ended.stop();
+            old_holder.stop();
         } else {
-            // Its threads are joined elsewhere, so that the time counts from the kill.
-            thread::spawn(move || drop(ended));
+            // Joins its threads in the background, so that the measured time does not include it.
+            thread::spawn(move || drop(old_holder));
         }
         wait_for_holder(&stewards)?;
-        spans.push(begun.elapsed().as_millis() as u64);
-        stewards.push(start(&platform, HOSTS + round, term)?);
+        gaps_ms.push(ended_at.elapsed().as_millis() as u64);
+        stewards.push(start_steward(&platform, HOSTS + round, term)?);
     }
-    Ok(spans)
+    Ok(gaps_ms)
 }
 
-fn start(platform: &Platform, number: usize, term: Millis) -> io::Result<Steward> {
+fn start_steward(platform: &Platform, number: usize, term: Millis) -> io::Result<Steward> {
     let settings = StewardSettings::default()
         .with_host(format!("h{number}"), "dc")
         .with_platform(format!("http://{}", platform.address()))
@@ -88,7 +89,7 @@
     Steward::start(settings)
 }
 
-fn list(platform: &Platform, stewards: &[Steward]) {
+fn publish_hosts(platform: &Platform, stewards: &[Steward]) {
     let hosts = stewards.iter().map(|steward| HostEntry {
         address: steward.address().ip(),
         dc: "dc".into(),
@@ -101,17 +102,17 @@
 }
 
 fn wait_for_holder(stewards: &[Steward]) -> io::Result<usize> {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + HOLDER_TIMEOUT;
     while Instant::now() < end {
-        if let Some(holder) = stewards.iter().position(may_act) {
+        if let Some(holder) = stewards.iter().position(is_orders_holder) {
             return Ok(holder);
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
-    Err(io::Error::other("nobody took the lease"))
+    Err(io::Error::other("no steward acquired the orders lease"))
 }
 
-fn may_act(steward: &Steward) -> bool {
+fn is_orders_holder(steward: &Steward) -> bool {
     let status = steward.status();
     let leases = status["leases"].as_array();
     leases.is_some_and(|leases| {
--- a/crates/godwitspool-measure/src/lib.rs
+++ b/crates/godwitspool-measure/src/lib.rs
@@ -1,11 +1,11 @@
-//! Measurements of slopes and policies, one command a table.
+//! Measurements of costs by size (slopes) and of policies. Each command fills one or more tables.
 //!
 //! ```sh
 //! cargo run --release --bin godwitspool-measure -- herd --seed 7 --out docs/measurements
 //! ```
 //!
-//! Every command fills a [`Table`], prints it and writes it as CSV. A policy and its simple baselines
-//! stand in the same table, from the same run and seed.
+//! Every command fills one or more [`Table`]s, which are printed and written as CSV. A policy and
+//! the simple baselines it is compared with are rows of the same table, from the same run and seed.
 
 mod capacity;
 mod command;
--- a/crates/godwitspool-measure/src/main.rs
+++ b/crates/godwitspool-measure/src/main.rs
@@ -1,19 +1,19 @@
-//! Measures slopes and policies: `godwitspool-measure COMMAND [--seed N] [--out DIR]`.
+//! Runs one measurement: `godwitspool-measure COMMAND [--seed N] [--out DIR]`.
 
 use std::{path::Path, process::ExitCode};
 
 use godwitspool_measure::{Command, Options, draw_plots, page_matches, write_page};
 use lexopt::prelude::{Long, Short, Value, ValueExt};
 
-/// Command that works the capacity page out of the measured slopes.
+/// Command that computes the tables of the capacity page from the fitted slopes.
 const CAPACITY: &str = "capacity";
-/// Command that draws the plots of the measured figures.
+/// Command that draws plots from the CSV files of other commands.
 const PLOTS: &str = "plots";
 const CAPACITY_PAGE: &str = "docs/CAPACITY.md";
 const USAGE_ERROR: u8 = 2;
 
-/// What the command line asks for.
-enum Ask {
+/// What to do, as parsed from the command line.
+enum Action {
     Capacity { check: bool, options: Options },
     Help,
     Plots(Options),
@@ -22,13 +22,13 @@
 
 fn main() -> ExitCode {
     match parse() {
-        Ok(Ask::Capacity { check, options }) => capacity(check, &options),
-        Ok(Ask::Help) => {
+        Ok(Action::Capacity { check, options }) => capacity(check, &options),
+        Ok(Action::Help) => {
             print_help();
             ExitCode::SUCCESS
         }
-        Ok(Ask::Plots(options)) => plots(&options),
-        Ok(Ask::Run(command, options)) => run(command, &options),
+        Ok(Action::Plots(options)) => plots(&options),
+        Ok(Action::Run(command, options)) => run(command, &options),
         Err(error) => {
             eprintln!("godwitspool-measure: {error}");
             ExitCode::from(USAGE_ERROR)
@@ -36,13 +36,13 @@
     }
 }
 
-fn parse() -> Result<Ask, lexopt::Error> {
+fn parse() -> Result<Action, lexopt::Error> {
     let mut parser = lexopt::Parser::from_env();
     let (mut name, mut check) = (None, false);
     let mut options = Options::default();
     while let Some(argument) = parser.next()? {
         match argument {
-            Short('h') | Long("help") => return Ok(Ask::Help),
+            Short('h') | Long("help") => return Ok(Action::Help),
             Long("check") => check = true,
             Long("out") => options.out = parser.value()?.into(),
             Long("seed") => options.seed = parser.value()?.parse()?,
@@ -51,13 +51,13 @@
         }
     }
     match name.as_deref() {
-        None => Ok(Ask::Help),
-        Some(PLOTS) if !check => Ok(Ask::Plots(options)),
-        Some(CAPACITY) => Ok(Ask::Capacity { check, options }),
-        Some(_) if check => Err("--check goes with capacity only".into()),
+        None => Ok(Action::Help),
+        Some(PLOTS) if !check => Ok(Action::Plots(options)),
+        Some(CAPACITY) => Ok(Action::Capacity { check, options }),
+        Some(_) if check => Err("--check is only valid with the command \"capacity\"".into()),
         Some(name) => match Command::by_name(name) {
-            Some(command) => Ok(Ask::Run(command, options)),
-            None => Err(format!("no command {name:?}; see --help").into()),
+            Some(command) => Ok(Action::Run(command, options)),
+            None => Err(format!("unknown command {name:?}; --help lists the commands").into()),
         },
     }
 }
@@ -67,15 +67,18 @@
     for command in Command::ALL {
         println!("  {:<14} {}", command.name, command.about);
     }
-    println!("  {PLOTS:<14} draws the main slopes and policies from their CSV");
-    println!("  {CAPACITY:<14} works {CAPACITY_PAGE} out of the slopes; --check only compares");
+    println!("  {PLOTS:<14} draws the main slopes and the straggler policies from their CSV files");
+    println!("  {CAPACITY:<14} computes {CAPACITY_PAGE} from fits.csv; --check only compares");
 }
 
 fn run(command: &Command, options: &Options) -> ExitCode {
     for table in (command.run)(options) {
         println!("{table}");
         if let Err(error) = table.write_csv(&options.out) {
-            eprintln!("godwitspool-measure: {}: {error}", options.out.display());
+            eprintln!(
+                "godwitspool-measure: can't write CSV files to {}: {error}",
+                options.out.display()
+            );
             return ExitCode::FAILURE;
         }
     }
@@ -98,7 +101,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
             eprintln!(
-                "{CAPACITY_PAGE} differs from the slopes in {}",
+                "{CAPACITY_PAGE} does not match fits.csv in {}; run without --check to update it",
                 options.out.display()
             );
             ExitCode::FAILURE
@@ -114,7 +117,10 @@
     match draw_plots(&options.out) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("godwitspool-measure: {}: {error}", options.out.display());
+            eprintln!(
+                "godwitspool-measure: can't draw plots in {}: {error}",
+                options.out.display()
+            );
             ExitCode::FAILURE
         }
     }
--- a/crates/godwitspool-measure/src/options.rs
+++ b/crates/godwitspool-measure/src/options.rs
@@ -1,13 +1,13 @@
-//! Options that every command takes.
+//! Options of the measurement commands.
 
 use std::path::PathBuf;
 
 /// Options that every command takes.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Folder that the CSV goes to.
+    /// Folder for the CSV files and plots. Defaults to `docs/measurements`.
     pub out: PathBuf,
-    /// Seed of every random choice.
+    /// Seed of every random choice. Defaults to 1.
     pub seed: u64,
 }
 
--- a/crates/godwitspool-measure/src/plots.rs
+++ b/crates/godwitspool-measure/src/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of measured figures, read back from their CSV.
+//! SVG plots of measured values, which are read from the CSV files of other commands.
 
 use std::{collections::BTreeMap, fs, io, path::Path};
 
@@ -10,15 +10,15 @@
 
 use crate::Point;
 
-const SIZE: (u32, u32) = (640, 400);
-const GREY: RGBColor = RGBColor(90, 90, 90);
+const PLOT_SIZE_PIXELS: (u32, u32) = (640, 400);
+const BORDER_COLOR: RGBColor = RGBColor(90, 90, 90);
 const LABEL_PIXELS: u32 = 50;
 const MARGIN_PIXELS: u32 = 12;
-/// Space above the largest figure.
-const HEADROOM: f64 = 1.05;
+/// Each axis ends at this factor times its largest value.
+const AXIS_MARGIN_FACTOR: f64 = 1.05;
 
-/// Series of `slopes.csv` that get a plot each.
-const SLOPES: [&str; 6] = [
+/// Series of `slopes.csv` that are plotted, each in a file of its own.
+const PLOTTED_SERIES: [&str; 6] = [
     "choice-us",
     "gossip-bytes",
     "open-stream-bytes",
@@ -43,18 +43,18 @@
     step_s: f64,
 }
 
-/// Draws every plot into the folder of the CSV files.
+/// Draws all plots into the folder that holds the CSV files. A series without rows is skipped.
 ///
 /// # Errors
-/// A CSV can't be read or a plot can't be written.
+/// Returns an error if a CSV file can't be read or a plot can't be written.
 pub fn draw_plots(folder: &Path) -> io::Result<()> {
     let rows: Vec<SlopeRow> = read(&folder.join("slopes.csv"))?;
-    for name in SLOPES {
-        let of_series: Vec<_> = rows.iter().filter(|row| row.series == name).collect();
-        let Some(first) = of_series.first() else {
+    for name in PLOTTED_SERIES {
+        let series_rows: Vec<_> = rows.iter().filter(|row| row.series == name).collect();
+        let Some(first) = series_rows.first() else {
             continue;
         };
-        let points = of_series
+        let points = series_rows
             .iter()
             .map(|row| Point {
                 x: row.size,
@@ -72,7 +72,7 @@
     draw_stragglers(folder)
 }
 
-/// Draws the step time of each policy; the kinds of stragglers stand side by side.
+/// Draws the step time of each policy. Each kind of straggler has one position on the x axis.
 fn draw_stragglers(folder: &Path) -> io::Result<()> {
     let rows: Vec<StragglerRow> = read(&folder.join("stragglers.csv"))?;
     let mut kinds = Vec::new();
@@ -109,7 +109,7 @@
         .map_err(io::Error::other)
 }
 
-/// Lines over one pair of axes.
+/// A chart with one or more lines.
 struct Plot<'a> {
     lines: BTreeMap<String, Vec<Point>>,
     title: &'a str,
@@ -126,9 +126,9 @@
     fn draw(&self, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
         let largest = |pick: fn(&Point) -> f64| {
             let points = self.lines.values().flatten();
-            points.map(pick).fold(f64::MIN_POSITIVE, f64::max) * HEADROOM
+            points.map(pick).fold(f64::MIN_POSITIVE, f64::max) * AXIS_MARGIN_FACTOR
         };
-        let area = SVGBackend::new(path, SIZE).into_drawing_area();
+        let area = SVGBackend::new(path, PLOT_SIZE_PIXELS).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(self.title, ("sans-serif", 18))
@@ -143,19 +143,22 @@
             .draw()?;
         for (index, (name, points)) in self.lines.iter().enumerate() {
             let color = Palette99::pick(index).to_rgba();
-            let places: Vec<_> = points.iter().map(|point| (point.x, point.y)).collect();
+            let coordinates: Vec<_> = points.iter().map(|point| (point.x, point.y)).collect();
             chart
-                .draw_series(LineSeries::new(places.clone(), color))?
+                .draw_series(LineSeries::new(coordinates.clone(), color))?
                 .label(name)
-                .legend(move |place| Circle::new(place, 4, color.filled()));
+                .legend(move |xy| Circle::new(xy, 4, color.filled()));
             chart.draw_series(
-                places
+                coordinates
                     .into_iter()
-                    .map(|place| Circle::new(place, 3, color.filled())),
+                    .map(|xy| Circle::new(xy, 3, color.filled())),
             )?;
         }
         if self.lines.len() > 1 {
-            chart.configure_series_labels().border_style(GREY).draw()?;
+            chart
+                .configure_series_labels()
+                .border_style(BORDER_COLOR)
+                .draw()?;
         }
         area.present()?;
         Ok(())
--- a/crates/godwitspool-measure/src/series.rs
+++ b/crates/godwitspool-measure/src/series.rs
@@ -1,4 +1,4 @@
-//! A figure measured at several sizes.
+//! A quantity measured at several sizes.
 
 use std::{
     hint::black_box,
@@ -7,24 +7,24 @@
 
 use crate::{Fit, Point, Table};
 
-/// Runs of a timed piece of work, of which the fastest counts.
+/// Number of timed runs. The fastest one is reported.
 const TIMED_RUNS: usize = 5;
 
-/// A figure measured at several sizes of one thing.
+/// A quantity measured at several sizes of one thing, such as bytes by number of hosts.
 #[derive(Clone, Debug)]
 pub struct Series {
     /// Name, unique among all series.
     pub name: &'static str,
-    /// What the size counts.
+    /// What the size counts, such as hosts.
     pub size_unit: &'static str,
-    /// Sizes and figures.
+    /// Sizes with the values measured at them.
     pub points: Vec<Point>,
-    /// Unit of the figure.
+    /// Unit of the values.
     pub unit: &'static str,
 }
 
 impl Series {
-    /// Measures a figure at each size.
+    /// Calls `value_at` with each size and records the results.
     ///
     /// ```
     /// use godwitspool_measure::Series;
@@ -37,13 +37,13 @@
         size_unit: &'static str,
         unit: &'static str,
         sizes: &[usize],
-        mut figure: impl FnMut(usize) -> f64,
+        mut value_at: impl FnMut(usize) -> f64,
     ) -> Self {
         let points = sizes
             .iter()
             .map(|&size| Point {
                 x: size as f64,
-                y: figure(size),
+                y: value_at(size),
             })
             .collect();
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds the points to a table with the columns of [`Series::points_table`].
+    /// Appends the points to a table with the columns of [`Series::points_table`].
     pub fn append_to(&self, table: &mut Table) {
         for point in &self.points {
             table.push_row([
@@ -67,19 +67,19 @@
         }
     }
 
-    /// Starts a table of points.
+    /// Creates an empty table with the columns that [`Series::append_to`] writes.
     pub fn points_table(name: &str) -> Table {
         Table::new(name, &["series", "of", "size", "figure", "unit"])
     }
 
-    /// Returns the line through the points; `None` for fewer than two sizes.
+    /// Fits a line to the points. Returns `None` for fewer than two different sizes.
     pub fn fit(&self) -> Option<Fit> {
         Fit::least_squares(&self.points)
     }
 }
 
-/// Returns the time of one call in microseconds: the fastest of several runs, each of at least
-/// `calls` calls.
+/// Returns the time of one call of `work` in microseconds: the mean over `calls` calls in the
+/// fastest of several runs.
 pub fn time_us<T>(calls: u32, mut work: impl FnMut() -> T) -> f64 {
     let mut fastest = Duration::MAX;
     for _ in 0..TIMED_RUNS {
--- a/crates/godwitspool-measure/src/system.rs
+++ b/crates/godwitspool-measure/src/system.rs
@@ -1,4 +1,4 @@
-//! One entry and one steward before stand-ins, over real sockets.
+//! One host with an entry and a steward, a fake platform and fake engines, over real sockets.
 
 use std::{
     collections::BTreeMap,
@@ -25,11 +25,11 @@
 const KEY: &str = "measured-key";
 const MODEL: &str = "model";
 const SERVICE: &str = "party/chat";
-/// Name of the stand-ins' threads.
+/// Name of the threads of the fakes, used to separate their CPU time from the entry's.
 pub(crate) const FAKES_THREAD: &str = "stand-ins";
-const START_BOUND: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One entry and one steward before a platform and its engines, all in this process.
+/// One entry, one steward and a fake platform with fake engines, all in this process.
 #[derive(Debug)]
 pub(crate) struct System {
     pub(crate) entry: Entry,
@@ -38,14 +38,14 @@
 }
 
 impl System {
-    /// Starts the stand-ins and the daemons, and waits until the entry serves.
+    /// Starts the fakes and the daemons and waits until the entry answers requests.
     pub(crate) fn start(engines: u32, options: EngineOptions) -> io::Result<Self> {
-        // The stand-ins' threads take over the name of the thread that starts them.
-        let starter = thread::Builder::new().name(FAKES_THREAD.to_owned());
-        let platform = starter
+        // The threads of the fakes inherit the name of the thread that starts them.
+        let builder = thread::Builder::new().name(FAKES_THREAD.to_owned());
+        let platform = builder
             .spawn(move || start_platform(engines, options))?
             .join()
-            .unwrap_or_else(|_| Err(io::Error::other("the stand-ins panicked at their start")))?;
+            .unwrap_or_else(|_| Err(io::Error::other("a fake panicked while it was started")))?;
         let url = format!("http://{}", platform.address());
         let steward = StewardSettings::default()
             .with_host("n1", DC)
@@ -59,7 +59,7 @@
             platform,
             _steward: steward,
         };
-        system.wait_until_served()?;
+        system.wait_until_ready()?;
         Ok(system)
     }
 
@@ -72,8 +72,8 @@
             .collect()
     }
 
-    fn wait_until_served(&self) -> io::Result<()> {
-        let end = Instant::now() + START_BOUND;
+    fn wait_until_ready(&self) -> io::Result<()> {
+        let end = Instant::now() + START_TIMEOUT;
         let caller = Caller::new(self.entry.address());
         while Instant::now() < end {
             if caller.generate("is it served", 1).is_ok() {
@@ -82,7 +82,7 @@
             thread::sleep(Duration::from_millis(20));
         }
         Err(io::Error::other(
-            "the entry served nothing within its bound",
+            "timed out waiting for the entry to answer a request",
         ))
     }
 }
@@ -157,7 +157,7 @@
     }
 }
 
-/// A caller that reads streams, of an entry or of an engine directly.
+/// A client that requests streams from an entry, or directly from an engine.
 #[derive(Debug)]
 pub(crate) struct Caller {
     address: SocketAddr,
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Reads one stream to its end and returns the number of its tokens.
+    /// Requests a stream, reads it to its end and returns the number of tokens.
     pub(crate) fn generate(&self, prompt: &str, max_tokens: u32) -> io::Result<u64> {
         let response = self
             .agent
@@ -195,7 +195,7 @@
         Err(io::ErrorKind::UnexpectedEof.into())
     }
 
-    /// Returns a request as it goes over the wire.
+    /// Returns the bytes of an HTTP request for a stream, for callers that do not read the answer.
     pub(crate) fn raw_request(&self, prompt: &str, max_tokens: u32) -> io::Result<Vec<u8>> {
         let body = serde_json::to_vec(&request(prompt, max_tokens))?;
         let mut bytes = format!(
--- a/crates/godwitspool-measure/src/table.rs
+++ b/crates/godwitspool-measure/src/table.rs
@@ -1,8 +1,8 @@
-//! A table of figures, printed as text and written as CSV.
+//! A table of results, printed as text and written as CSV.
 
 use std::{fmt, fs, io, path::Path};
 
-/// A table of figures.
+/// A named table of results. Cells are stored as text.
 ///
 /// ```
 /// use godwitspool_measure::Table;
@@ -19,7 +19,7 @@
 }
 
 impl Table {
-    /// Starts a table.
+    /// Creates a table without rows. The name is also the name of its CSV file.
     pub fn new(name: &str, columns: &[&str]) -> Self {
         let columns = columns.iter().map(|&column| column.to_owned()).collect();
         Self {
@@ -29,25 +29,25 @@
         }
     }
 
-    /// Adds a row.
+    /// Appends a row.
     ///
     /// # Panics
-    /// The number of cells differs from the number of columns.
+    /// Panics if the number of cells differs from the number of columns.
     pub fn push_row(&mut self, cells: impl IntoIterator<Item = String>) {
         let cells: Vec<_> = cells.into_iter().collect();
         assert_eq!(
             cells.len(),
             self.columns.len(),
-            "cells of a row in table {:?}",
+            "row of table {:?} has the wrong number of cells",
             self.name
         );
         self.rows.push(cells);
     }
 
-    /// Writes `NAME.csv` into a folder.
+    /// Writes `NAME.csv` into a folder, which is created if it is missing.
     ///
     /// # Errors
-    /// The folder or the file can't be written.
+    /// Returns an error if the folder can't be created or the file can't be written.
     pub fn write_csv(&self, folder: &Path) -> io::Result<()> {
         fs::create_dir_all(folder)?;
         let mut writer = csv::Writer::from_path(folder.join(format!("{}.csv", self.name)))?;
@@ -58,14 +58,14 @@
         writer.flush()
     }
 
-    fn width(&self, column: usize) -> usize {
+    fn column_width(&self, column: usize) -> usize {
         let cells = self.rows.iter().map(|row| row[column].len());
         cells.chain([self.columns[column].len()]).max().unwrap_or(0)
     }
 
-    fn line(&self, f: &mut fmt::Formatter<'_>, cells: &[String]) -> fmt::Result {
+    fn write_line(&self, f: &mut fmt::Formatter<'_>, cells: &[String]) -> fmt::Result {
         for (column, cell) in cells.iter().enumerate() {
-            write!(f, "{cell:>width$}  ", width = self.width(column))?;
+            write!(f, "{cell:>width$}  ", width = self.column_width(column))?;
         }
         writeln!(f)
     }
@@ -74,7 +74,7 @@
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.name)?;
-        self.line(f, &self.columns)?;
-        self.rows.iter().try_for_each(|row| self.line(f, row))
+        self.write_line(f, &self.columns)?;
+        self.rows.iter().try_for_each(|row| self.write_line(f, row))
     }
 }
