--- a/crates/godwitspool-measure/src/capacity/fits.rs
+++ b/crates/godwitspool-measure/src/capacity/fits.rs
@@ -1,30 +1,30 @@
-//! The lines fitted to measured slopes, read back from their CSV.
+//! The lines fitted to measured series, as read from `fits.csv`.
 
 use std::{collections::BTreeMap, path::Path};
 
 use serde::Deserialize;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-/// Why measured slopes can't be used.
+/// Error of reading a fit.
 #[derive(Debug, Snafu)]
 pub enum FitsError {
-    /// The file can't be read.
+    /// The file can't be read or has an unexpected format.
     #[snafu(display("{path}: {source}"))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause.
         source: csv::Error,
     },
-    /// A series isn't among them.
-    #[snafu(display("no series \"{series}\" among the fits"))]
+    /// The file has no row for a series.
+    #[snafu(display("series \"{series}\" is missing in fits.csv"))]
     Missing {
-        /// The series.
+        /// Name of the missing series.
         series: String,
     },
 }
 
-/// The lines fitted to measured slopes, by series.
+/// The lines fitted to measured series, by name of the series.
 #[derive(Clone, Debug)]
 pub(crate) struct Fits {
     lines: BTreeMap<String, Line>,
@@ -37,33 +37,33 @@
 }
 
 #[derive(Deserialize)]
-struct Named {
+struct FitRow {
     series: String,
     #[serde(flatten)]
     line: Line,
 }
 
 impl Fits {
-    /// Reads `fits.csv`.
+    /// Reads the fits from a CSV file.
     pub(crate) fn read(path: &Path) -> Result<Self, FitsError> {
-        let context = || ReadSnafu {
+        let read_context = || ReadSnafu {
             path: path.display().to_string(),
         };
-        let mut reader = csv::Reader::from_path(path).with_context(|_| context())?;
+        let mut reader = csv::Reader::from_path(path).with_context(|_| read_context())?;
         let mut lines = BTreeMap::new();
-        for named in reader.deserialize() {
-            let named: Named = named.with_context(|_| context())?;
-            lines.insert(named.series, named.line);
+        for row in reader.deserialize() {
+            let row: FitRow = row.with_context(|_| read_context())?;
+            lines.insert(row.series, row.line);
         }
         Ok(Self { lines })
     }
 
-    /// Returns what one unit more of a series costs.
+    /// Returns the increase of a series per unit of size.
     pub(crate) fn slope(&self, series: &str) -> Result<f64, FitsError> {
         self.line(series).map(|line| line.slope)
     }
 
-    /// Returns the line's value at a size.
+    /// Returns the value of the line at a size, but never less than zero.
     pub(crate) fn at(&self, series: &str, size: f64) -> Result<f64, FitsError> {
         self.line(series)
             .map(|line| (line.intercept + line.slope * size).max(0.0))
--- a/crates/godwitspool-measure/src/capacity/mod.rs
+++ b/crates/godwitspool-measure/src/capacity/mod.rs
@@ -1,4 +1,4 @@
-//! The capacity page's figures, worked out from measured slopes.
+//! Computes the tables of the capacity page from the fitted slopes.
 
 mod fits;
 mod fleet;
@@ -16,71 +16,73 @@
 pub(crate) use fleet::Fleet;
 pub(crate) use row::Row;
 
-/// Why the capacity page's figures can't be worked out.
+/// Error of computing, reading or writing the capacity page.
 #[derive(Debug, Snafu)]
 pub enum CapacityError {
-    /// The measured slopes can't be read.
+    /// The fitted slopes can't be read.
     #[snafu(display("{source}"))]
     Fits {
-        /// Why.
+        /// Cause.
         source: FitsError,
     },
     /// A file can't be read or written.
     #[snafu(display("{path}: {source}"))]
     File {
-        /// The file.
+        /// Path of the file or folder.
         path: String,
-        /// Why.
+        /// Cause.
         source: io::Error,
     },
-    /// The page lacks the markers of a table.
-    #[snafu(display("page has no table \"{name}\" between its markers"))]
+    /// The page lacks the begin or end marker of a table.
+    #[snafu(display("the page lacks a begin or end marker of table \"{name}\""))]
     Marker {
-        /// The table.
+        /// Name of the table.
         name: String,
     },
 }
 
-/// Works the figures out from `fits.csv` of a folder, writes `capacity.csv` there and the tables of
-/// the page.
+/// Computes the tables of the page from `fits.csv` in `folder`, replaces them in the page and
+/// writes `capacity.csv` into the folder.
 ///
 /// # Errors
-/// A file can't be read or written, a slope is missing, or the page lacks a table's markers.
+/// Returns an error if a file can't be read or written, a series is missing, or the page lacks the
+/// markers of a table.
 pub fn write_page(folder: &Path, page: &Path) -> Result<Vec<Table>, CapacityError> {
-    let tables = tables(folder)?;
-    let text = read(page)?;
-    let updated = page::fill(&text, &tables)?;
+    let role_tables = role_tables(folder)?;
+    let text = read_page(page)?;
+    let updated = page::replace_tables(&text, &role_tables)?;
     fs::write(page, updated).context(FileSnafu {
         path: page.display().to_string(),
     })?;
-    let csv = roles::csv(&tables);
+    let csv = roles::csv(&role_tables);
     csv.write_csv(folder).context(FileSnafu {
         path: folder.display().to_string(),
     })?;
     Ok(vec![csv])
 }
 
-/// Tells whether the page's tables agree with the measured slopes of a folder.
+/// Returns whether the tables of the page match `fits.csv` in `folder`.
 ///
 /// # Errors
-/// A file can't be read, a slope is missing, or the page lacks a table's markers.
+/// Returns an error if a file can't be read, a series is missing, or the page lacks the markers of
+/// a table.
 pub fn page_matches(folder: &Path, page: &Path) -> Result<bool, CapacityError> {
-    let text = read(page)?;
-    Ok(page::fill(&text, &tables(folder)?)? == text)
+    let text = read_page(page)?;
+    Ok(page::replace_tables(&text, &role_tables(folder)?)? == text)
 }
 
-fn tables(folder: &Path) -> Result<Vec<RoleTable>, CapacityError> {
+fn role_tables(folder: &Path) -> Result<Vec<RoleTable>, CapacityError> {
     let fits = Fits::read(&folder.join("fits.csv")).context(FitsSnafu)?;
-    roles::all(&Fleet::default(), &fits).context(FitsSnafu)
+    roles::role_tables(&Fleet::default(), &fits).context(FitsSnafu)
 }
 
-fn read(path: &Path) -> Result<String, CapacityError> {
+fn read_page(path: &Path) -> Result<String, CapacityError> {
     fs::read_to_string(path).context(FileSnafu {
         path: path.display().to_string(),
     })
 }
 
-/// The rows of one role.
+/// The table of one role on the capacity page.
 #[derive(Clone, Debug)]
 pub(crate) struct RoleTable {
     pub(crate) name: &'static str,
--- a/crates/godwitspool-measure/src/capacity/page.rs
+++ b/crates/godwitspool-measure/src/capacity/page.rs
@@ -1,4 +1,4 @@
-//! The tables of the capacity page, between their markers.
+//! Replaces the tables of the capacity page, each of which is enclosed in two marker comments.
 
 use std::fmt::Write;
 
@@ -6,8 +6,8 @@
 
 use crate::capacity::{CapacityError, MarkerSnafu, RoleTable};
 
-/// Replaces what stands between the markers of each table.
-pub(super) fn fill(page: &str, tables: &[RoleTable]) -> Result<String, CapacityError> {
+/// Returns the page with the text between the markers of each table replaced.
+pub(super) fn replace_tables(page: &str, tables: &[RoleTable]) -> Result<String, CapacityError> {
     let mut text = page.to_owned();
     for table in tables {
         let begin = format!("<!-- begin {} -->\n", table.name);
@@ -29,7 +29,7 @@
             "| {} | {figure} | {} | {verdict} | {} |",
             row.quantity, row.unit, row.formula
         );
-        writeln!(text, "{line}").expect("a string takes every line");
+        writeln!(text, "{line}").expect("writing to a string can't fail");
     }
     text
 }
--- a/crates/godwitspool-measure/src/capacity/roles.rs
+++ b/crates/godwitspool-measure/src/capacity/roles.rs
@@ -1,4 +1,4 @@
-//! What each role costs at the size to design for.
+//! The cost of each role of a daemon at the design size.
 
 mod entry;
 mod log;
@@ -10,13 +10,13 @@
     capacity::{Fits, FitsError, Fleet, RoleTable},
 };
 
-/// Bytes a second that a daemon may spend for control.
-const CONTROL_BYTES: f64 = 29_000.0;
-/// Share of a core that a daemon may spend for control, in percent.
+/// Maximum network traffic of a daemon for control messages.
+const CONTROL_BYTES_PER_S: f64 = 29_000.0;
+/// Maximum share of a core that a daemon may use for control work.
 const CONTROL_CORE_PERCENT: f64 = 2.5;
 
-/// Works out every role.
-pub(super) fn all(fleet: &Fleet, fits: &Fits) -> Result<Vec<RoleTable>, FitsError> {
+/// Computes the tables of all roles, in the order of the page.
+pub(super) fn role_tables(fleet: &Fleet, fits: &Fits) -> Result<Vec<RoleTable>, FitsError> {
     Ok(vec![
         entry::table(fleet, fits)?,
         trainer::table(fleet, fits)?,
@@ -28,7 +28,7 @@
     ])
 }
 
-/// Lists every row of every role.
+/// Returns the rows of all roles as one table.
 pub(super) fn csv(tables: &[RoleTable]) -> Table {
     let columns = ["role", "quantity", "figure", "unit", "budget", "formula"];
     let mut csv = Table::new("capacity", &columns);
@@ -49,7 +49,7 @@
     csv
 }
 
-/// Converts microseconds of processor time a second to a share of a core in percent.
-fn core_percent(us_a_second: f64) -> f64 {
-    us_a_second / 1e4
+/// Converts microseconds of CPU time per second to a share of a core in percent.
+fn core_percent(us_per_s: f64) -> f64 {
+    us_per_s / 1e4
 }
--- a/crates/godwitspool-measure/src/capacity/roles/entry.rs
+++ b/crates/godwitspool-measure/src/capacity/roles/entry.rs
@@ -1,25 +1,25 @@
-//! The entry daemon.
+//! Cost of the entry daemon.
 
 use super::core_percent;
 use crate::capacity::{Fits, FitsError, Fleet, RoleTable, Row};
 
 pub(super) fn table(fleet: &Fleet, fits: &Fits) -> Result<RoleTable, FitsError> {
-    let (requests, tokens) = (fleet.entry_requests(), fleet.entry_tokens());
+    let (requests_per_s, tokens_per_s) = (fleet.entry_requests_per_s(), fleet.entry_tokens_per_s());
     let streams = fleet.entry_streams();
-    let stream_us = fits.at("stream-us", tokens / requests)? * requests;
+    let stream_us = fits.at("stream-us", tokens_per_s / requests_per_s)? * requests_per_s;
     let decision_us = fits.at("choice-us", fleet.workers)?
-        + fits.at("key-check-us", fleet.workspaces * fleet.keys)?;
-    let updates = fleet.changes() + 2.0 * fleet.restarts();
+        + fits.at("key-check-us", fleet.workspaces * fleet.workspace_keys)?;
+    let updates_per_s = fleet.changes_per_s() + 2.0 * fleet.restarts_per_s();
     let view_bytes = fits.at("view-bytes", fleet.workers)?
         + fits.at("view-member-bytes", fleet.daemons)?
         + fits.at("view-workspace-bytes", fleet.workspaces)?;
     let view_us = fits.at("view-code-us", fleet.workers)?
         + fits.at("view-member-code-us", fleet.daemons)?
         + fits.at("view-workspace-code-us", fleet.workspaces)?;
-    let usage_bytes = fits.slope("usage-message-bytes")? * requests;
+    let usage_bytes = fits.slope("usage-message-bytes")? * requests_per_s;
     let rows = vec![
-        Row::new("requests", requests, "1/s", "requests / daemons"),
-        Row::new("tokens", tokens, "1/s", "tokens / daemons"),
+        Row::new("requests", requests_per_s, "1/s", "requests / daemons"),
+        Row::new("tokens", tokens_per_s, "1/s", "tokens / daemons"),
         Row::new(
             "open streams",
             streams,
@@ -40,7 +40,7 @@
         ),
         Row::new(
             "processor for decisions",
-            core_percent(decision_us * requests),
+            core_percent(decision_us * requests_per_s),
             "% of a core",
             "requests × (choice-us at 10,000 targets + key-check-us)",
         ),
@@ -52,13 +52,13 @@
         ),
         Row::new(
             "view updates from the own host's steward",
-            view_bytes * updates / 1e3,
+            view_bytes * updates_per_s / 1e3,
             "KB/s on loopback",
             "view × (changes + 2 × restarts)",
         ),
         Row::new(
             "processor for view updates, both daemons",
-            core_percent(view_us * updates),
+            core_percent(view_us * updates_per_s),
             "% of a core",
             "(view-code-us + view-member-code-us + view-workspace-code-us) × updates",
         )
@@ -69,7 +69,7 @@
             "KB/s",
             "2 × requests × usage-message-bytes",
         )
-        .with_budget(super::CONTROL_BYTES / 1e3),
+        .with_budget(super::CONTROL_BYTES_PER_S / 1e3),
     ];
     Ok(RoleTable {
         name: "entry",
--- a/crates/godwitspool-measure/src/capacity/roles/log.rs
+++ b/crates/godwitspool-measure/src/capacity/roles/log.rs
@@ -1,19 +1,20 @@
-//! The platform's log.
+//! Load of the platform's log.
 
-use super::steward::FIGURES;
+use super::steward::SEAL_FIGURES;
 use crate::capacity::{Fits, FitsError, Fleet, RoleTable, Row};
 
+/// Number of leases.
 const LEASES: f64 = 3.0;
-/// Time between renewals of a lease, in seconds.
-const RENEWAL_S: f64 = 0.7;
-/// Appends a second that the platform takes.
-const APPENDS: f64 = 300.0;
-/// Records between two snapshots.
+/// Time between two renewals of a lease.
+const RENEWAL_INTERVAL_S: f64 = 0.7;
+/// Maximum rate of appends that the platform accepts.
+const MAX_APPENDS_PER_S: f64 = 300.0;
+/// Number of records between two snapshots.
 const SNAPSHOT_RECORDS: f64 = 20_000.0;
 
 pub(super) fn table(fleet: &Fleet, fits: &Fits) -> Result<RoleTable, FitsError> {
-    let rates = Rates::new(fleet);
-    let hour = 3_600.0;
+    let rates = AppendRates::new(fleet);
+    let hour_s = 3_600.0;
     let rows = vec![
         Row::new(
             "appends for configuration",
@@ -39,10 +40,11 @@
             "1/s",
             "2 × (restarts + failed hosts' targets)",
         ),
-        Row::new("appends, sum", rates.sum(), "1/s", "the four above").with_budget(APPENDS),
+        Row::new("appends, sum", rates.sum(), "1/s", "the four above")
+            .with_budget(MAX_APPENDS_PER_S),
         Row::new(
             "bytes, sum",
-            bytes(fleet, fits)? / 1e3,
+            bytes_per_s(fleet, fits)? / 1e3,
             "KB/s",
             "appends × bytes of each kind",
         ),
@@ -60,13 +62,13 @@
         ),
         Row::new(
             "records of an hour, folded after an outage or a partition",
-            rates.sum() * hour * fits.slope("publish-fold-us")? / 1e6,
+            rates.sum() * hour_s * fits.slope("publish-fold-us")? / 1e6,
             "s",
             "appends × 3,600 × publish-fold-us",
         ),
         Row::new(
             "usage windows waiting after an hour's outage",
-            hour / fleet.window_s,
+            hour_s / fleet.window_s,
             "windows",
             "3,600 s / window",
         ),
@@ -74,11 +76,11 @@
     Ok(RoleTable { name: "log", rows })
 }
 
-/// Bytes a second of the log.
-pub(super) fn bytes(fleet: &Fleet, fits: &Fits) -> Result<f64, FitsError> {
-    let rates = Rates::new(fleet);
+/// Returns the bytes per second that are appended to the log, including snapshots.
+pub(super) fn bytes_per_s(fleet: &Fleet, fits: &Fits) -> Result<f64, FitsError> {
+    let rates = AppendRates::new(fleet);
     let seals = fleet.dcs / fleet.window_s * seal_bytes(fleet, fits)?;
-    let frozen = fits.at("seal-figure-bytes", FIGURES * fleet.dcs / 4.0)? / fleet.window_s;
+    let frozen = fits.at("seal-figure-bytes", SEAL_FIGURES * fleet.dcs / 4.0)? / fleet.window_s;
     let snapshots = snapshot_bytes(fleet, fits)? * rates.sum() / SNAPSHOT_RECORDS;
     Ok(rates.changes * fits.at("publish-bytes", 1.0)?
         + (rates.leases + rates.orders) * fits.slope("lease-bytes")?
@@ -87,38 +89,41 @@
         + snapshots)
 }
 
-/// Processor time a second to fold the log, in microseconds.
+/// Returns the CPU time to fold the log, in microseconds per second.
 pub(super) fn fold_us(fleet: &Fleet, fits: &Fits) -> Result<f64, FitsError> {
-    let rates = Rates::new(fleet);
-    let seal = fits.at("seal-fold-us", FIGURES)? + fits.at("coverage-us", fleet.peers())?;
+    let rates = AppendRates::new(fleet);
+    let seal =
+        fits.at("seal-fold-us", SEAL_FIGURES)? + fits.at("coverage-us", fleet.daemons_per_dc())?;
     Ok(rates.changes * fits.slope("publish-fold-us")?
         + (rates.leases + rates.orders) * fits.slope("lease-fold-us")?
         + rates.usage * seal)
 }
 
-/// Bytes of one data centre's seal.
+/// Returns the size of the seal of one data centre.
 pub(super) fn seal_bytes(fleet: &Fleet, fits: &Fits) -> Result<f64, FitsError> {
-    Ok(fits.at("seal-figure-bytes", FIGURES)? + fits.at("seal-range-bytes", fleet.peers())?)
+    Ok(fits.at("seal-figure-bytes", SEAL_FIGURES)?
+        + fits.at("seal-range-bytes", fleet.daemons_per_dc())?)
 }
 
 fn snapshot_bytes(fleet: &Fleet, fits: &Fits) -> Result<f64, FitsError> {
-    let lives = fleet.daemons + 2.0 * fleet.restarts_a_day;
+    let lives = fleet.daemons + 2.0 * fleet.restarts_per_day;
     Ok(fits.at("snapshot-bytes", fleet.workspaces)? + fits.at("coverage-snapshot-bytes", lives)?)
 }
 
-struct Rates {
+/// Appends per second, by cause.
+struct AppendRates {
     changes: f64,
     leases: f64,
     orders: f64,
     usage: f64,
 }
 
-impl Rates {
+impl AppendRates {
     fn new(fleet: &Fleet) -> Self {
         Self {
-            changes: fleet.changes(),
-            leases: LEASES / RENEWAL_S,
-            orders: 2.0 * fleet.restarts(),
+            changes: fleet.changes_per_s(),
+            leases: LEASES / RENEWAL_INTERVAL_S,
+            orders: 2.0 * fleet.restarts_per_s(),
             usage: (fleet.dcs + 2.0) / fleet.window_s,
         }
     }
--- a/crates/godwitspool-measure/src/capacity/row.rs
+++ b/crates/godwitspool-measure/src/capacity/row.rs
@@ -1,12 +1,12 @@
-//! One figure of a role.
+//! One row of a role's table.
 
-/// One figure of a role at the size to design for.
+/// One computed value of a role at the design size.
 #[derive(Clone, Debug)]
 pub(crate) struct Row {
-    /// Most that the figure may be, where the letter says so.
+    /// Upper limit of the figure; `None` if the requirements set none.
     pub(crate) budget: Option<f64>,
     pub(crate) figure: f64,
-    /// How the figure is worked out, in the names of series.
+    /// How the figure is computed, in words and names of series.
     pub(crate) formula: &'static str,
     pub(crate) quantity: &'static str,
     pub(crate) unit: &'static str,
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Sets the most that the figure may be.
+    /// Sets the upper limit of the figure.
     pub(crate) fn with_budget(mut self, budget: f64) -> Self {
         self.budget = Some(budget);
         self
     }
 
-    /// Tells how the figure stands to its budget.
+    /// Returns the text of the budget column: the limit and whether the figure is within it.
     pub(crate) fn verdict(&self) -> String {
         match self.budget {
             None => String::new(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns the figure with three significant digits.
+    /// Formats the figure with three significant digits, or with all integer digits if it has more.
     pub(crate) fn rounded(&self) -> String {
         let digits = if self.figure == 0.0 {
             0
