--- a/crates/godwitspool-measure/src/slopes/configuration.rs
+++ b/crates/godwitspool-measure/src/slopes/configuration.rs
@@ -1,4 +1,4 @@
-//! Slopes of the configuration, the log's records, the fold, snapshots and the entries' view.
+//! Slopes of the entry's view, publish and lease records, the fold and snapshots.
 
 use std::{
     collections::BTreeMap,
@@ -18,8 +18,8 @@
 
 use crate::series::{Series, time_us};
 
-const KEYS_OF_WORKSPACE: usize = 3;
-const SERVICES_OF_WORKSPACE: usize = 3;
+const WORKSPACE_KEYS: usize = 3;
+const WORKSPACE_SERVICES: usize = 3;
 const SIZES: [usize; 4] = [10, 100, 1_000, 3_000];
 
 pub(super) fn measure() -> Vec<Series> {
@@ -53,7 +53,7 @@
             "records",
             "us",
             &[100, 1_000, 5_000],
-            fold_us,
+            publish_fold_us,
         ),
         Series::measure("lease-bytes", "records", "bytes", &[10, 100, 1_000], |n| {
             lease_chain(n).iter().map(String::len).sum::<usize>() as f64
@@ -66,22 +66,19 @@
             lease_fold_us,
         ),
         Series::measure("snapshot-bytes", "workspaces", "bytes", &SIZES, |n| {
-            folded(n).snapshot().len() as f64
+            fold_of_one_publish(n).snapshot().len() as f64
         }),
         Series::measure("snapshot-write-us", "workspaces", "us", &SIZES, |n| {
-            let fold = folded(n);
+            let fold = fold_of_one_publish(n);
             time_us(5, || fold.snapshot())
         }),
         Series::measure("snapshot-load-us", "workspaces", "us", &SIZES, |n| {
-            let text = folded(n).snapshot();
+            let text = fold_of_one_publish(n).snapshot();
             time_us(5, || Fold::restore(&text).is_ok())
         }),
     ]
 }
 
-// ---------------------------------------------------------------------------
-// Views
-
 fn view(targets: usize, hosts: usize, workspaces: usize) -> View {
     View {
         configuration: Arc::new(configuration(workspaces)),
@@ -125,9 +122,6 @@
     SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + index as u32), port))
 }
 
-// ---------------------------------------------------------------------------
-// Configuration and log
-
 fn configuration(workspaces: usize) -> Configuration {
     let workspaces = (0..workspaces).map(|index| (workspace_name(index), workspace(index)));
     Configuration {
@@ -158,14 +152,14 @@
         )
     };
     WorkspaceRules {
-        keys: (0..KEYS_OF_WORKSPACE).map(key).collect(),
-        services: (0..SERVICES_OF_WORKSPACE).map(service).collect(),
+        keys: (0..WORKSPACE_KEYS).map(key).collect(),
+        services: (0..WORKSPACE_SERVICES).map(service).collect(),
         ..WorkspaceRules::default()
     }
 }
 
-fn publish(first: usize, workspaces: usize) -> Record {
-    let changed = first..first + workspaces;
+fn publish(first_workspace: usize, workspaces: usize) -> Record {
+    let changed = first_workspace..first_workspace + workspaces;
     let change = ConfigurationChange {
         workspaces: changed
             .map(|index| (workspace_name(index), Some(workspace(index))))
@@ -178,7 +172,7 @@
     }))
 }
 
-fn folded(workspaces: usize) -> Fold {
+fn fold_of_one_publish(workspaces: usize) -> Fold {
     let mut fold = Fold::default();
     apply(&mut fold, &publish(0, workspaces));
     fold
@@ -189,9 +183,9 @@
         .expect("the offset is the next one");
 }
 
-/// Folds publishes of one workspace each, over a configuration of a hundred.
-fn fold_us(records: usize) -> f64 {
-    let texts = chain(records);
+/// Returns the time to fold publishes that each change one of a hundred workspaces.
+fn publish_fold_us(records: usize) -> f64 {
+    let texts = publish_chain(records);
     time_us(1, || {
         let mut fold = Fold::default();
         for (offset, text) in texts.iter().enumerate() {
@@ -202,8 +196,8 @@
     })
 }
 
-/// Publishes that each follow the one before.
-fn chain(records: usize) -> Vec<String> {
+/// Returns publish records, each based on the one before.
+fn publish_chain(records: usize) -> Vec<String> {
     let mut base = None;
     (0..records)
         .map(|offset| {
@@ -229,7 +223,7 @@
     })
 }
 
-/// Claims that each follow the one before.
+/// Returns lease claims, each after the one before.
 fn lease_chain(records: usize) -> Vec<String> {
     let holder = HostLife {
         host: "dc-7-host-101".into(),
--- a/crates/godwitspool-measure/src/slopes/mod.rs
+++ b/crates/godwitspool-measure/src/slopes/mod.rs
@@ -1,4 +1,5 @@
-//! Slopes: what a unit more of something costs, measured at three or more sizes.
+//! Slopes: the cost of each additional host, target, token and so on. Each is the slope of a line
+//! that is fitted to measurements at three or more sizes.
 
 mod configuration;
 mod gossip;
@@ -45,7 +46,7 @@
     all.extend(serving::measure(options.seed));
     match stream::measure() {
         Ok(series) => all.extend(series),
-        Err(error) => eprintln!("slopes of streams are missing: {error}"),
+        Err(error) => eprintln!("slopes of streams were not measured: {error}"),
     }
     all
 }
--- a/crates/godwitspool-measure/src/slopes/serving.rs
+++ b/crates/godwitspool-measure/src/slopes/serving.rs
@@ -1,4 +1,4 @@
-//! Slopes of the decisions that each request costs.
+//! Slopes of the CPU time of the decisions for a request.
 
 use godwitspool_request::{KeyTable, LoadReport, Need, TargetFacts, Targets};
 use godwitspool_types::{Dc, Key, Millis, ServiceName};
--- a/crates/godwitspool-measure/src/slopes/stream.rs
+++ b/crates/godwitspool-measure/src/slopes/stream.rs
@@ -1,7 +1,7 @@
-//! Slopes of the entry's data path over real sockets: what tokens, requests and open streams cost.
+//! Slopes of the entry's data path over real sockets: CPU time by tokens, memory by open streams.
 //!
-//! Callers, stand-ins and the entry share this process. The entry's processor time is what remains
-//! of the process's once that of the stand-ins' threads and of the callers is taken off.
+//! Callers, fakes and the entry share this process. The CPU time of the entry is that of the
+//! process minus that of the threads of the callers and the fakes.
 
 use std::{
     io::{self, Write},
@@ -19,17 +19,17 @@
 };
 
 const CALLERS: usize = 16;
-const ENGINES: u32 = 4;
-/// Requests of one caller in a measured round.
-const REQUESTS: usize = 60;
-const SETTLE: Duration = Duration::from_millis(1_500);
+const ENGINE_COUNT: u32 = 4;
+/// Number of requests that each caller sends in a measured round.
+const REQUESTS_PER_CALLER: usize = 60;
+const SETTLE_TIME: Duration = Duration::from_millis(1_500);
 const STREAM_COUNTS: [usize; 3] = [50, 100, 200];
 const TOKEN_COUNTS: [usize; 4] = [1, 50, 100, 200];
-/// Tokens of a stream that is held open.
+/// Number of tokens of a stream that is held open.
 const OPEN_TOKENS: u32 = 2_000;
 
 pub(super) fn measure() -> io::Result<Vec<Series>> {
-    Ok(vec![processor()?, resident()?])
+    Ok(vec![measure_cpu()?, measure_memory()?])
 }
 
 fn options(step_ms: u64) -> EngineOptions {
@@ -41,36 +41,33 @@
     }
 }
 
-// ---------------------------------------------------------------------------
-// Processor time of requests
-
-fn processor() -> io::Result<Series> {
-    let system = System::start(ENGINES, options(2))?;
-    // Opens the connections, so that no stand-in's thread ends within a round.
-    round_us(&system, 1)?;
-    let mut figures = Vec::new();
+fn measure_cpu() -> io::Result<Series> {
+    let system = System::start(ENGINE_COUNT, options(2))?;
+    // Opens the connections, so that no thread of a fake ends within a measured round.
+    round_cpu_us(&system, 1)?;
+    let mut values = Vec::new();
     for tokens in TOKEN_COUNTS {
-        figures.push(round_us(&system, tokens as u32)? / (CALLERS * REQUESTS) as f64);
+        values.push(round_cpu_us(&system, tokens as u32)? / (CALLERS * REQUESTS_PER_CALLER) as f64);
     }
-    let mut figures = figures.into_iter();
+    let mut values = values.into_iter();
     Ok(Series::measure(
         "stream-us",
         "tokens of a request",
         "us",
         &TOKEN_COUNTS,
-        |_| figures.next().unwrap_or(0.0),
+        |_| values.next().unwrap_or(0.0),
     ))
 }
 
-/// Returns the entry's processor time in a round of requests.
-fn round_us(system: &System, tokens: u32) -> io::Result<f64> {
+/// Returns the CPU time of the entry in a round of requests.
+fn round_cpu_us(system: &System, tokens: u32) -> io::Result<f64> {
     let before = ProcessUsage::read()?.cpu_us - threads_cpu_us(FAKES_THREAD)?;
     let callers_us = thread::scope(|scope| {
         let callers: Vec<_> = (0..CALLERS)
             .map(|index| {
                 let caller = Caller::new(system.entry.address());
                 scope.spawn(move || {
-                    for request in 0..REQUESTS {
+                    for request in 0..REQUESTS_PER_CALLER {
                         caller.generate(&format!("prompt {index} {request}"), tokens)?;
                     }
                     own_thread_cpu_us()
@@ -78,46 +75,45 @@
             })
             .collect();
         callers.into_iter().try_fold(0.0, |sum, caller| {
-            let own = caller
+            let own_us = caller
                 .join()
                 .unwrap_or_else(|_| Err(io::Error::other("caller panicked")));
-            own.map(|own| sum + own)
+            own_us.map(|own_us| sum + own_us)
         })
     })?;
     let after = ProcessUsage::read()?.cpu_us - threads_cpu_us(FAKES_THREAD)?;
     Ok(after - before - callers_us)
 }
 
-// ---------------------------------------------------------------------------
-// Memory of open streams
-
-/// Resident memory that open streams add, once the stand-ins hold as much as they ever will.
-fn resident() -> io::Result<Series> {
-    let system = System::start(ENGINES, options(50))?;
-    let most = STREAM_COUNTS[STREAM_COUNTS.len() - 1];
-    let direct = open(&system, most, true)?;
-    thread::sleep(SETTLE);
+/// Measures the resident memory that open streams add.
+fn measure_memory() -> io::Result<Series> {
+    let system = System::start(ENGINE_COUNT, options(50))?;
+    let max_streams = STREAM_COUNTS[STREAM_COUNTS.len() - 1];
+    // Streams that bypass the entry bring the fakes to their maximum memory before the baseline is
+    // read.
+    let direct = open_streams(&system, max_streams, true)?;
+    thread::sleep(SETTLE_TIME);
     drop(direct);
-    let base = ProcessUsage::read()?.resident_bytes;
+    let base_bytes = ProcessUsage::read()?.resident_bytes;
     let mut streams = Vec::new();
-    let mut figures = Vec::new();
+    let mut values = Vec::new();
     for count in STREAM_COUNTS {
-        streams.extend(open(&system, count - streams.len(), false)?);
-        thread::sleep(SETTLE);
-        figures.push(ProcessUsage::read()?.resident_bytes - base);
+        streams.extend(open_streams(&system, count - streams.len(), false)?);
+        thread::sleep(SETTLE_TIME);
+        values.push(ProcessUsage::read()?.resident_bytes - base_bytes);
     }
-    let mut figures = figures.into_iter();
+    let mut values = values.into_iter();
     Ok(Series::measure(
         "open-stream-bytes",
         "streams",
         "bytes",
         &STREAM_COUNTS,
-        |_| figures.next().unwrap_or(0.0),
+        |_| values.next().unwrap_or(0.0),
     ))
 }
 
-/// Starts streams without reading them; they end when the sockets are dropped.
-fn open(system: &System, count: usize, direct: bool) -> io::Result<Vec<TcpStream>> {
+/// Starts streams without reading them. They end when the sockets are dropped.
+fn open_streams(system: &System, count: usize, direct: bool) -> io::Result<Vec<TcpStream>> {
     let engines = system.engines();
     (0..count)
         .map(|index| {
--- a/crates/godwitspool-measure/src/slopes/usage.rs
+++ b/crates/godwitspool-measure/src/slopes/usage.rs
@@ -1,4 +1,4 @@
-//! Slopes of demand, usage records, seals and windows.
+//! Slopes of demand reports, usage records, usage seals and coverage.
 
 use godwitspool_connection::messages::{Demand, ServiceDemand, StewardRequest, UsageRecord};
 use godwitspool_types::{Incarnation, Offset, RequestId};
