--- a/crates/godwitspool-measure/src/rollout/idle.rs
+++ b/crates/godwitspool-measure/src/rollout/idle.rs
@@ -1,4 +1,4 @@
-//! Trainers' idle time through faults, over real sockets in one process.
+//! Idle time of a trainer during faults, over real sockets in one process.
 
 use std::{
     io, thread,
@@ -11,15 +11,17 @@
 use crate::{Options, Table};
 
 const STEPS: u64 = 16;
-/// Step before which the fault begins, and before which it ends.
+/// The fault is injected before this step.
 const FAULT_STEP: u64 = 4;
-const MEND_STEP: u64 = 12;
+/// A log outage is ended before this step.
+const FAULT_END_STEP: u64 = 12;
 const GROUPS: u32 = 6;
+/// Samples of a group.
 const SAMPLES: u32 = 4;
-/// Time that the trainer trains on a batch, while the next one is made.
-const TRAIN: Duration = Duration::from_secs(1);
+/// Time that the trainer spends on a batch while the samples of the next one are generated.
+const TRAINING_TIME: Duration = Duration::from_secs(1);
 
-/// What goes wrong.
+/// The injected fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     HomeDies,
@@ -44,38 +46,39 @@
         Fault::HomeDies,
         Fault::Reclaim,
     ] {
-        match train(fault) {
+        match run_steps(fault) {
             Ok(row) => table.push_row(row),
-            Err(error) => eprintln!("idle through {fault:?} is missing: {error}"),
+            Err(error) => eprintln!("idle time during fault {fault:?} was not measured: {error}"),
         }
     }
     table
 }
 
-/// Trains steps, each submitted while the one before it is trained on.
-fn train(fault: Fault) -> io::Result<[String; 6]> {
+/// Runs all steps with one fault. The samples of a step are generated while the trainer works on
+/// the batch before it.
+fn run_steps(fault: Fault) -> io::Result<[String; 6]> {
     let mut system = TrainerSystem::start(3, 4)?;
     system.submit(0, GROUPS, SAMPLES)?;
-    let (mut waited, mut longest) = (Duration::ZERO, Duration::ZERO);
-    // The first step has nothing to hide behind and isn't counted.
+    let (mut waited, mut longest_wait) = (Duration::ZERO, Duration::ZERO);
+    // Step 0 is not counted, since no training overlaps with its generation.
     let batch = system.fetch(0)?;
     system.submit(1, GROUPS, SAMPLES)?;
     system.acknowledge(0, &batch)?;
     let start = Instant::now();
     for step in 1..=STEPS {
         if step == FAULT_STEP {
-            begin(fault, &mut system);
+            inject(fault, &mut system);
         }
-        if step == MEND_STEP && fault == Fault::LogOutage {
+        if step == FAULT_END_STEP && fault == Fault::LogOutage {
             system.platform.set_outage(false);
         }
-        thread::sleep(TRAIN);
-        let asked = Instant::now();
+        thread::sleep(TRAINING_TIME);
+        let fetch_started = Instant::now();
         let batch = system.fetch(step)?;
         system.submit(step + 1, GROUPS, SAMPLES)?;
         system.acknowledge(step, &batch)?;
-        waited += asked.elapsed();
-        longest = longest.max(asked.elapsed());
+        waited += fetch_started.elapsed();
+        longest_wait = longest_wait.max(fetch_started.elapsed());
     }
     let total = start.elapsed();
     Ok([
@@ -84,18 +87,18 @@
         format!("{:.2}", waited.as_secs_f64()),
         format!("{:.2}", total.as_secs_f64()),
         format!("{:.2}", waited.as_secs_f64() / total.as_secs_f64() * 100.0),
-        format!("{:.2}", longest.as_secs_f64()),
+        format!("{:.2}", longest_wait.as_secs_f64()),
     ])
 }
 
-fn begin(fault: Fault, system: &mut TrainerSystem) {
+fn inject(fault: Fault, system: &mut TrainerSystem) {
     match fault {
         Fault::HomeDies => system.kill_home(),
         Fault::LogOutage => system.platform.set_outage(true),
         Fault::None => {}
         Fault::Reclaim => {
             let names = system.platform.reclaim(&"south".into(), 5_000);
-            log::info!("{} reclaimed", json!(names));
+            log::info!("reclaiming targets {}", json!(names));
         }
     }
 }
--- a/crates/godwitspool-measure/src/rollout/samples.rs
+++ b/crates/godwitspool-measure/src/rollout/samples.rs
@@ -1,4 +1,4 @@
-//! Bytes and microseconds of waiting samples.
+//! Memory and CPU time per sample of a step, by the number of samples.
 
 use std::{hint::black_box, time::Instant};
 
@@ -7,8 +7,10 @@
 use super::steps_harness::StepsHarness;
 use crate::Table;
 
+/// Numbers of samples in a step.
 const SIZES: [u32; 4] = [100, 1_000, 10_000, 100_000];
-const SAMPLES: u32 = 8;
+const GROUP_SAMPLES: u32 = 8;
+/// Tokens of each sample.
 const TOKENS: usize = 200;
 
 pub(super) fn measure() -> Table {
@@ -34,42 +36,43 @@
         max_open_samples: u32::MAX,
         ..StepRules::default()
     };
-    let mut lab = StepsHarness::new(rules);
-    let each = |micros: f64| format!("{:.2}", micros / f64::from(size));
-    let groups = size.div_ceil(SAMPLES);
-    let submit = micros(|| lab.submit(1, groups, SAMPLES));
-    let waiting = lab.steps.image().bytes();
+    let mut harness = StepsHarness::new(rules);
+    let per_sample = |micros: f64| format!("{:.2}", micros / f64::from(size));
+    let groups = size.div_ceil(GROUP_SAMPLES);
+    let submit_us = time_once_us(|| harness.submit(1, groups, GROUP_SAMPLES));
+    let waiting_bytes = harness.steps.image().bytes();
     let version = "v1".into();
-    let finish = micros(|| {
-        while !lab.started.is_empty() {
-            let last = lab.started.len() - 1;
-            lab.finish(last, TOKENS, &version);
+    let finish_us = time_once_us(|| {
+        while !harness.started.is_empty() {
+            let last = harness.started.len() - 1;
+            harness.finish(last, TOKENS, &version);
         }
     });
-    let whole = lab.steps.image().bytes();
-    let freeze = micros(|| lab.fetch(1, 0));
+    let complete_bytes = harness.steps.image().bytes();
+    let freeze_us = time_once_us(|| harness.fetch(1, 0));
     let mut pages = 1;
-    let fetch = micros(|| {
+    let fetch_us = time_once_us(|| {
         let mut page = 0;
-        while let Some(Answer::Page(held)) = lab.fetch(1, page) {
-            pages = held.pages;
+        while let Some(Answer::Page(fetched)) = harness.fetch(1, page) {
+            pages = fetched.pages;
             page += 1;
         }
     });
-    let count = f64::from(groups * SAMPLES);
+    let count = f64::from(groups * GROUP_SAMPLES);
     [
         size.to_string(),
         TOKENS.to_string(),
-        format!("{:.0}", waiting as f64 / count),
-        format!("{:.0}", whole as f64 / count),
-        each(submit),
-        each(finish),
-        each(freeze),
-        format!("{:.2}", fetch / f64::from(pages)),
+        format!("{:.0}", waiting_bytes as f64 / count),
+        format!("{:.0}", complete_bytes as f64 / count),
+        per_sample(submit_us),
+        per_sample(finish_us),
+        per_sample(freeze_us),
+        format!("{:.2}", fetch_us / f64::from(pages)),
     ]
 }
 
-fn micros<T>(work: impl FnOnce() -> T) -> f64 {
+/// Returns the time of one call of `work` in microseconds.
+fn time_once_us<T>(work: impl FnOnce() -> T) -> f64 {
     let start = Instant::now();
     black_box(work());
     start.elapsed().as_secs_f64() * 1e6
--- a/crates/godwitspool-measure/src/rollout/shares.rs
+++ b/crates/godwitspool-measure/src/rollout/shares.rs
@@ -1,4 +1,4 @@
-//! How near 12 trainers come to their shares.
+//! How closely 12 trainers get their configured shares.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,6 +9,7 @@
 use crate::Table;
 
 const TRAINERS: u32 = 12;
+/// Number of samples that are started in a run.
 const STARTS: u32 = 50_000;
 
 pub(super) fn measure(seed: u64) -> Table {
@@ -20,12 +21,12 @@
         "worst_error_percent",
     ];
     let mut table = Table::new("shares", &columns);
-    for (policy, got) in [
-        ("first-come", first_come(seed)),
-        ("shares", by_shares(seed, false)),
-        ("shares-half-come-and-go", by_shares(seed, true)),
+    for (policy, work) in [
+        ("first-come", simulate_first_come(seed)),
+        ("shares", simulate_shares(seed, false)),
+        ("shares-half-come-and-go", simulate_shares(seed, true)),
     ] {
-        let (mean, worst) = errors(&got);
+        let (mean, worst) = relative_errors(&work);
         table.push_row([
             policy.to_owned(),
             TRAINERS.to_string(),
@@ -37,71 +38,82 @@
     table
 }
 
-/// What each trainer got of what it was entitled to.
-type Got = BTreeMap<TrainerName, (f64, f64)>;
+/// Work that each trainer received and was entitled to, in this order.
+type WorkByTrainer = BTreeMap<TrainerName, (f64, f64)>;
 
 fn trainer(number: u32) -> TrainerName {
     format!("t{number:02}").into()
 }
 
-fn by_shares(seed: u64, come_and_go: bool) -> Got {
+/// Simulates the fair-share policy. With `intermittent`, half of the trainers stop and resume at
+/// random.
+fn simulate_shares(seed: u64, intermittent: bool) -> WorkByTrainer {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut shares = Shares::default();
-    let mut got = Got::new();
+    let mut work = WorkByTrainer::new();
     let mut active = vec![true; TRAINERS as usize];
     for start in 0..STARTS {
-        if come_and_go && start % 1_000 == 0 {
-            for (at, wants) in active.iter_mut().enumerate() {
-                *wants = at % 2 == 0 || rng.random_bool(0.5);
+        if intermittent && start % 1_000 == 0 {
+            for (index, is_active) in active.iter_mut().enumerate() {
+                *is_active = index % 2 == 0 || rng.random_bool(0.5);
             }
         }
-        for (at, wants) in active.iter().enumerate() {
+        for (index, is_active) in active.iter().enumerate() {
             let rules = TrainerDemand {
-                share: at as u32 + 1,
-                waiting: if *wants { 1_000 } else { 0 },
+                share: index as u32 + 1,
+                waiting: if *is_active { 1_000 } else { 0 },
                 ..TrainerDemand::default()
             };
-            shares.set(trainer(at as u32), rules);
+            shares.set(trainer(index as u32), rules);
         }
         let cost = rng.random_range(300.0..700.0);
         let Some(next) = shares.next(Millis::ZERO, cost, |_| true) else {
             continue;
         };
-        got.entry(next).or_default().0 += cost;
-        entitle(&mut got, &active, cost);
+        work.entry(next).or_default().0 += cost;
+        add_entitlement(&mut work, &active, cost);
     }
-    got
+    work
 }
 
-/// Starts in the order in which trainers ask: each asks as often as it has engines to fill.
-fn first_come(seed: u64) -> Got {
+/// Simulates the baseline: samples start in the order in which trainers ask, and since all ask
+/// equally often, shares have no effect.
+fn simulate_first_come(seed: u64) -> WorkByTrainer {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut queue: VecDeque<u32> = (0..TRAINERS).collect();
-    let mut got = Got::new();
+    let mut work = WorkByTrainer::new();
     let active = vec![true; TRAINERS as usize];
     for _ in 0..STARTS {
         let cost = rng.random_range(300.0..700.0);
         if let Some(next) = queue.pop_front() {
-            got.entry(trainer(next)).or_default().0 += cost;
+            work.entry(trainer(next)).or_default().0 += cost;
             queue.push_back(next);
         }
-        entitle(&mut got, &active, cost);
+        add_entitlement(&mut work, &active, cost);
     }
-    got
+    work
 }
 
-fn entitle(got: &mut Got, active: &[bool], cost: f64) {
-    let wanting = active.iter().enumerate().filter(|(_, wants)| **wants);
-    let all: f64 = wanting.clone().map(|(at, _)| at as f64 + 1.0).sum();
-    for (at, _) in wanting {
-        got.entry(trainer(at as u32)).or_default().1 += cost * (at as f64 + 1.0) / all;
+/// Divides the cost of a started sample among the active trainers in proportion to their shares.
+fn add_entitlement(work: &mut WorkByTrainer, active: &[bool], cost: f64) {
+    let active_trainers = active
+        .iter()
+        .enumerate()
+        .filter(|(_, is_active)| **is_active);
+    let share_sum: f64 = active_trainers
+        .clone()
+        .map(|(index, _)| index as f64 + 1.0)
+        .sum();
+    for (index, _) in active_trainers {
+        work.entry(trainer(index as u32)).or_default().1 += cost * (index as f64 + 1.0) / share_sum;
     }
 }
 
-fn errors(got: &Got) -> (f64, f64) {
-    let errors = got
+/// Returns the mean and the largest relative error of the received work.
+fn relative_errors(work: &WorkByTrainer) -> (f64, f64) {
+    let errors = work
         .values()
-        .map(|(got, entitled)| (got - entitled).abs() / entitled);
+        .map(|(received, entitlement)| (received - entitlement).abs() / entitlement);
     let worst = errors.clone().fold(0.0, f64::max);
-    (errors.sum::<f64>() / got.len() as f64, worst)
+    (errors.sum::<f64>() / work.len() as f64, worst)
 }
--- a/crates/godwitspool-measure/src/rollout/staleness.rs
+++ b/crates/godwitspool-measure/src/rollout/staleness.rs
@@ -1,4 +1,4 @@
-//! Ages of samples at delivery, in versions.
+//! Ages of samples at delivery, in weight versions.
 
 use godwitspool_rollout::{Answer, Freshness, Request, StepEvent, StepNumber, StepRules};
 use godwitspool_types::WeightVersion;
@@ -9,13 +9,15 @@
 
 const STEPS: u64 = 100;
 const GROUPS: u32 = 32;
-const SAMPLES: u32 = 8;
-const OLDEST: usize = 5;
-/// Part of a step's samples after which a new version is published.
-const PUBLISH_PART: f64 = 0.7;
-/// Part of the samples whose target swaps late, and by how many versions at most.
-const LATE_PART: f64 = 0.1;
-const MOST_LATE: u32 = 3;
+const GROUP_SAMPLES: u32 = 8;
+/// Columns of the table by age. The last one includes all greater ages.
+const AGE_BUCKETS: usize = 5;
+/// Share of a step's samples after which a new version is published.
+const PUBLISH_AFTER_SHARE: f64 = 0.7;
+/// Share of the samples whose target has not loaded the newest version.
+const LATE_SHARE: f64 = 0.1;
+/// Maximum number of versions by which such a target is behind.
+const MAX_LATE_VERSIONS: u32 = 3;
 
 pub(super) fn measure(seed: u64) -> Table {
     let columns = [
@@ -33,62 +35,65 @@
     table
 }
 
-fn run(seed: u64, bound: u32) -> ([u64; OLDEST], u64) {
+fn run(seed: u64, bound: u32) -> ([u64; AGE_BUCKETS], u64) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut lab = StepsHarness::new(StepRules {
+    let mut harness = StepsHarness::new(StepRules {
         page_samples: usize::MAX,
         staleness_versions: bound,
         ..StepRules::default()
     });
     let mut newest = 10;
     for version in 1..=newest {
-        publish(&mut lab, version);
+        publish(&mut harness, version);
     }
-    let mut ages = [0; OLDEST];
+    let mut ages = [0; AGE_BUCKETS];
     for step in 0..STEPS {
-        lab.submit(step, GROUPS, SAMPLES);
-        let mut made = 0.0;
+        harness.submit(step, GROUPS, GROUP_SAMPLES);
+        let mut finished_share = 0.0;
         let mut is_published = false;
         let page = loop {
-            while !lab.started.is_empty() {
-                made += 1.0 / f64::from(GROUPS * SAMPLES);
-                if made >= PUBLISH_PART && !is_published {
+            while !harness.started.is_empty() {
+                finished_share += 1.0 / f64::from(GROUPS * GROUP_SAMPLES);
+                if finished_share >= PUBLISH_AFTER_SHARE && !is_published {
                     is_published = true;
                     newest += 1;
-                    publish(&mut lab, newest);
+                    publish(&mut harness, newest);
                 }
-                let late = if rng.random_bool(LATE_PART) {
-                    rng.random_range(1..=MOST_LATE)
+                let late = if rng.random_bool(LATE_SHARE) {
+                    rng.random_range(1..=MAX_LATE_VERSIONS)
                 } else {
                     0
                 };
-                let at = rng.random_range(0..lab.started.len());
-                lab.finish(at, 4, &version(newest - late));
+                let index = rng.random_range(0..harness.started.len());
+                harness.finish(index, 4, &version(newest - late));
             }
-            if let Some(Answer::Page(page)) = lab.fetch(step, 0) {
+            if let Some(Answer::Page(page)) = harness.fetch(step, 0) {
                 break page;
             }
         };
         for sample in &page.samples {
-            if let Freshness::Fresh { age } =
-                lab.steps.image().order().sample_freshness(sample, u32::MAX)
+            if let Freshness::Fresh { age } = harness
+                .steps
+                .image()
+                .order()
+                .sample_freshness(sample, u32::MAX)
             {
-                ages[(age as usize).min(OLDEST - 1)] += 1;
+                ages[(age as usize).min(AGE_BUCKETS - 1)] += 1;
             }
         }
         let request = Request::Acknowledge {
             digest: page.digest,
             step: StepNumber(step),
         };
-        lab.tell(StepEvent::Request { reply: 1, request });
+        harness.apply(StepEvent::Request { reply: 1, request });
     }
-    (ages, lab.steps.counts().remade)
+    (ages, harness.steps.counts().remade)
 }
 
 fn version(number: u32) -> WeightVersion {
     format!("v{number}").into()
 }
 
-fn publish(lab: &mut StepsHarness, number: u32) {
-    lab.tell(StepEvent::Published(version(number)));
+fn publish(harness: &mut StepsHarness, number: u32) {
+    harness.apply(StepEvent::Published(version(number)));
 }
--- a/crates/godwitspool-measure/src/rollout/step_run.rs
+++ b/crates/godwitspool-measure/src/rollout/step_run.rs
@@ -1,4 +1,4 @@
-//! One step on targets that batch continuously, under a policy against stragglers.
+//! Simulates one training step on targets with continuous batching, under one straggler policy.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,31 +6,34 @@
 use godwitspool_types::{Millis, TargetName};
 
 const TICK_MS: u64 = 100;
-const DECIDE_MS: u64 = 500;
-/// Milliseconds of an engine's step, and more for each running stream.
-const STEP_MS: f64 = 8.0;
-const STREAM_MS: f64 = 0.2;
+const DECISION_INTERVAL_MS: u64 = 500;
+/// Duration of an engine step without streams.
+const ENGINE_STEP_MS: f64 = 8.0;
+/// Time that each running stream adds to an engine step.
+const MS_PER_STREAM: f64 = 0.2;
 pub(super) const PROMPT_TOKENS: u32 = 200;
 pub(super) const MAX_TOKENS: u32 = 16_384;
-/// Tokens of prompt that a target reads in the time of a generated one.
+/// Number of prompt tokens that a target processes in the time that it takes to generate one.
 const PREFILL_RATIO: f64 = 20.0;
-/// A target this much slower than the median gets no new samples.
-const SLOW_FACTOR: f64 = 3.0;
+/// A target that is slower than the median by more than this factor gets no new samples.
+const SLOW_TARGET_FACTOR: f64 = 3.0;
 
-/// A policy against stragglers.
+/// How to handle stragglers. The names are printed in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Policy {
-    /// A second stream from the start once a sample has taken twice the median.
+    /// Hedges a sample that takes more than twice the median time with a second stream, which
+    /// starts from the first token.
     FixedHedge,
-    /// Samples stay where they are, in the order of submission.
+    /// Starts samples in the order of submission and never moves or hedges one.
     None,
-    /// The rollouts' own: predicted lengths, longest first, moves and hedges within a budget.
+    /// The policy of [`Stragglers`]: predicts lengths, starts the longest first, and moves and
+    /// hedges samples within a budget.
     Predicted,
 }
 
-/// A sample to make.
+/// A sample of the step and the number of tokens that it will have.
 #[derive(Clone, Debug)]
-pub(super) struct Need {
+pub(super) struct PlannedSample {
     pub(super) group: u32,
     pub(super) index: u32,
     pub(super) tokens: u32,
@@ -40,64 +43,70 @@
 #[derive(Clone, Debug)]
 pub(super) struct Fleet {
     pub(super) slots: u32,
-    /// How many times slower than usual each target is.
-    pub(super) slowness: Vec<f64>,
+    /// Factor by which each target is slower than normal.
+    pub(super) slowdowns: Vec<f64>,
 }
 
-/// What a step took.
+/// Result of a simulated step.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Outcome {
-    /// Work beyond what one run of every sample takes, as a part of that.
-    pub(super) extra: f64,
+    /// Work beyond generating each sample once, relative to that.
+    pub(super) extra_work: f64,
     pub(super) remedies: u32,
     pub(super) step_s: f64,
 }
 
 #[derive(Clone, Debug)]
 struct Stream {
-    need: usize,
+    sample: usize,
     target: usize,
     started: u64,
+    /// Tokens that were generated before this stream started.
     resumed: f64,
-    made: f64,
-    /// Tokens of prompt and answer still to read, in generated tokens.
-    reading: f64,
+    /// Tokens of the answer so far, including the resumed ones.
+    generated: f64,
+    /// Remaining prefill of prompt and earlier answer, in units of one generated token.
+    prefill: f64,
 }
 
 pub(super) struct StepRun {
     fleet: Fleet,
-    needs: Vec<Need>,
+    samples: Vec<PlannedSample>,
     policy: Policy,
     queue: VecDeque<usize>,
     streams: Vec<Stream>,
+    /// Whether each sample is complete.
     done: Vec<bool>,
     hedged: Vec<bool>,
-    durations: Vec<u64>,
+    /// Times from the first start of each complete sample to its completion.
+    durations_ms: Vec<u64>,
     stragglers: Stragglers,
     now: u64,
+    /// Work so far, in units of one generated token.
     work: f64,
     remedies: u32,
-    paces: Vec<f64>,
+    /// Measured milliseconds per token, by target.
+    pace_ms: Vec<f64>,
 }
 
 impl StepRun {
-    pub(super) fn new(fleet: Fleet, needs: Vec<Need>, policy: Policy) -> Self {
-        let mut queue: Vec<usize> = (0..needs.len()).collect();
+    pub(super) fn new(fleet: Fleet, samples: Vec<PlannedSample>, policy: Policy) -> Self {
+        let mut queue: Vec<usize> = (0..samples.len()).collect();
         if policy == Policy::Predicted {
-            // The first of each group tells how long the others will be.
-            queue.sort_by_key(|&need| needs[need].index > 0);
+            // The length of the first sample of each group predicts the lengths of the others.
+            queue.sort_by_key(|&sample| samples[sample].index > 0);
         }
         let rules = StragglerRules {
             prefill_ratio: PREFILL_RATIO,
             ..StragglerRules::default()
         };
         Self {
-            paces: vec![STEP_MS; fleet.slowness.len()],
-            done: vec![false; needs.len()],
-            hedged: vec![false; needs.len()],
-            durations: Vec::new(),
+            pace_ms: vec![ENGINE_STEP_MS; fleet.slowdowns.len()],
+            done: vec![false; samples.len()],
+            hedged: vec![false; samples.len()],
+            durations_ms: Vec::new(),
             fleet,
-            needs,
+            samples,
             policy,
             queue: queue.into(),
             streams: Vec::new(),
@@ -108,208 +117,216 @@
         }
     }
 
-    /// Runs until every sample is whole.
+    /// Runs until all samples are complete.
     pub(super) fn run(mut self) -> Outcome {
         while self.done.iter().any(|done| !done) {
-            self.fill();
+            self.start_queued();
             self.advance();
-            if self.now.is_multiple_of(DECIDE_MS) {
+            if self.now.is_multiple_of(DECISION_INTERVAL_MS) {
                 match self.policy {
                     Policy::FixedHedge => self.hedge_fixed(),
                     Policy::None => {}
-                    Policy::Predicted => self.predict(),
+                    Policy::Predicted => self.apply_predicted(),
                 }
             }
         }
-        let needed: f64 = self.needs.iter().map(cost).sum();
+        let needed: f64 = self.samples.iter().map(cost_in_tokens).sum();
         Outcome {
-            extra: self.work / needed - 1.0,
+            extra_work: self.work / needed - 1.0,
             remedies: self.remedies,
             step_s: self.now as f64 / 1_000.0,
         }
     }
 
     fn running(&self, target: usize) -> u32 {
-        let own = self.streams.iter().filter(|stream| stream.target == target);
-        own.count() as u32
+        let on_target = self.streams.iter().filter(|stream| stream.target == target);
+        on_target.count() as u32
     }
 
-    fn counts(&self) -> Vec<u32> {
-        let mut counts = vec![0; self.fleet.slowness.len()];
+    fn stream_counts(&self) -> Vec<u32> {
+        let mut stream_counts = vec![0; self.fleet.slowdowns.len()];
         for stream in &self.streams {
-            counts[stream.target] += 1;
+            stream_counts[stream.target] += 1;
         }
-        counts
+        stream_counts
     }
 
     fn token_ms(&self, target: usize, running: u32) -> f64 {
-        (STEP_MS + STREAM_MS * f64::from(running)) * self.fleet.slowness[target]
+        (ENGINE_STEP_MS + MS_PER_STREAM * f64::from(running)) * self.fleet.slowdowns[target]
     }
 
     fn is_slow(&self, target: usize) -> bool {
-        let mut sorted = self.paces.clone();
+        let mut sorted = self.pace_ms.clone();
         sorted.sort_by(f64::total_cmp);
         self.policy == Policy::Predicted
-            && self.paces[target] > SLOW_FACTOR * sorted[sorted.len() / 2]
+            && self.pace_ms[target] > SLOW_TARGET_FACTOR * sorted[sorted.len() / 2]
     }
 
-    fn fill(&mut self) {
-        let mut counts = self.counts();
-        while let Some(&need) = self.queue.front() {
-            let free = (0..counts.len())
-                .filter(|&target| counts[target] < self.fleet.slots && !self.is_slow(target));
-            let Some(target) = free.min_by_key(|&target| counts[target]) else {
+    fn start_queued(&mut self) {
+        let mut stream_counts = self.stream_counts();
+        while let Some(&sample) = self.queue.front() {
+            let free = (0..stream_counts.len()).filter(|&target| {
+                stream_counts[target] < self.fleet.slots && !self.is_slow(target)
+            });
+            let Some(target) = free.min_by_key(|&target| stream_counts[target]) else {
                 return;
             };
             self.queue.pop_front();
-            counts[target] += 1;
-            self.begin(need, target, 0.0);
+            stream_counts[target] += 1;
+            self.start_stream(sample, target, 0.0);
         }
     }
 
-    fn begin(&mut self, need: usize, target: usize, tokens: f64) {
-        let reading = (f64::from(PROMPT_TOKENS) + tokens) / PREFILL_RATIO;
-        self.work += reading;
+    fn start_stream(&mut self, sample: usize, target: usize, tokens: f64) {
+        let prefill = (f64::from(PROMPT_TOKENS) + tokens) / PREFILL_RATIO;
+        self.work += prefill;
         self.streams.push(Stream {
-            need,
+            sample,
             target,
             started: self.now,
             resumed: tokens,
-            made: tokens,
-            reading,
+            generated: tokens,
+            prefill,
         });
     }
 
     fn advance(&mut self) {
-        let counts = self.counts();
+        let stream_counts = self.stream_counts();
         self.now += TICK_MS;
-        let mut whole = Vec::new();
-        for at in 0..self.streams.len() {
-            let target = self.streams[at].target;
-            let mut tokens = TICK_MS as f64 / self.token_ms(target, counts[target]);
-            let stream = &mut self.streams[at];
-            let read = tokens.min(stream.reading);
-            stream.reading -= read;
+        let mut completed = Vec::new();
+        for stream_index in 0..self.streams.len() {
+            let target = self.streams[stream_index].target;
+            let mut tokens = TICK_MS as f64 / self.token_ms(target, stream_counts[target]);
+            let stream = &mut self.streams[stream_index];
+            let read = tokens.min(stream.prefill);
+            stream.prefill -= read;
             tokens -= read;
-            let left = f64::from(self.needs[stream.need].tokens) - stream.made;
-            let made = tokens.min(left);
-            stream.made += made;
-            self.work += made;
+            let left = f64::from(self.samples[stream.sample].tokens) - stream.generated;
+            let generated = tokens.min(left);
+            stream.generated += generated;
+            self.work += generated;
             if left <= tokens {
-                whole.push(stream.need);
+                completed.push(stream.sample);
             }
         }
-        for need in whole {
-            if !std::mem::replace(&mut self.done[need], true) {
-                let started = self.streams.iter().filter(|stream| stream.need == need);
+        for sample in completed {
+            if !std::mem::replace(&mut self.done[sample], true) {
+                let started = self.streams.iter().filter(|stream| stream.sample == sample);
                 let first = started
                     .map(|stream| stream.started)
                     .min()
                     .unwrap_or(self.now);
-                self.durations.push(self.now - first);
-                self.stragglers
-                    .learn(&id_of(&self.needs[need]), self.needs[need].tokens);
+                self.durations_ms.push(self.now - first);
+                self.stragglers.learn(
+                    &sample_id(&self.samples[sample]),
+                    self.samples[sample].tokens,
+                );
             }
         }
         let done = &self.done;
-        self.streams.retain(|stream| !done[stream.need]);
+        self.streams.retain(|stream| !done[stream.sample]);
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // Policies
-
     fn hedge_fixed(&mut self) {
-        if self.durations.len() < 32 {
+        if self.durations_ms.len() < 32 {
             return;
         }
-        let mut sorted = self.durations.clone();
+        let mut sorted = self.durations_ms.clone();
         sorted.sort_unstable();
-        let bound = 2 * sorted[sorted.len() / 2];
-        let late: Vec<_> = self
+        let max_duration = 2 * sorted[sorted.len() / 2];
+        let late_streams: Vec<_> = self
             .streams
             .iter()
-            .filter(|stream| !self.hedged[stream.need] && self.now - stream.started > bound)
-            .map(|stream| (stream.need, stream.target))
+            .filter(|stream| {
+                !self.hedged[stream.sample] && self.now - stream.started > max_duration
+            })
+            .map(|stream| (stream.sample, stream.target))
             .collect();
-        let mut counts = self.counts();
-        for (need, own) in late {
-            let others = (0..counts.len())
-                .filter(|&target| target != own && counts[target] < self.fleet.slots);
-            if let Some(target) = others.min_by_key(|&target| counts[target]) {
-                counts[target] += 1;
-                self.hedged[need] = true;
+        let mut stream_counts = self.stream_counts();
+        for (sample, late_target) in late_streams {
+            let others = (0..stream_counts.len()).filter(|&target| {
+                target != late_target && stream_counts[target] < self.fleet.slots
+            });
+            if let Some(target) = others.min_by_key(|&target| stream_counts[target]) {
+                stream_counts[target] += 1;
+                self.hedged[sample] = true;
                 self.remedies += 1;
-                self.begin(need, target, 0.0);
+                self.start_stream(sample, target, 0.0);
             }
         }
     }
 
-    fn predict(&mut self) {
-        self.observe();
+    fn apply_predicted(&mut self) {
+        self.measure_paces();
         self.sort_queue();
         let attempts: Vec<_> = self
             .streams
             .iter()
             .map(|stream| self.attempt(stream))
             .collect();
-        let mut paces: Vec<_> = (0..self.paces.len())
+        let mut target_paces: Vec<_> = (0..self.pace_ms.len())
             .map(|target| TargetPace {
-                target: name(target),
-                tokens_per_s: 1_000.0 / self.paces[target],
+                target: target_name(target),
+                tokens_per_s: 1_000.0 / self.pace_ms[target],
                 room: self.fleet.slots - self.running(target),
             })
             .collect();
-        let slots = self.fleet.slots * self.paces.len() as u32;
-        let waiting = self.queue.iter().map(|&need| {
+        let slots = self.fleet.slots * self.pace_ms.len() as u32;
+        let waiting = self.queue.iter().map(|&sample| {
             self.stragglers
-                .expected_remaining(&id_of(&self.needs[need]), 0, MAX_TOKENS)
+                .expected_remaining(&sample_id(&self.samples[sample]), 0, MAX_TOKENS)
         });
-        let queue_ms = waiting.sum::<f64>() * STEP_MS / f64::from(slots);
+        let queue_ms = waiting.sum::<f64>() * ENGINE_STEP_MS / f64::from(slots);
         let now = Millis(self.now);
-        let remedies = self
-            .stragglers
-            .decide(&attempts, &mut paces, Millis(queue_ms as u64), now);
+        let remedies =
+            self.stragglers
+                .decide(&attempts, &mut target_paces, Millis(queue_ms as u64), now);
         for remedy in remedies {
             let (id, to, is_hedge) = match remedy {
                 Remedy::Hedge { id, to } => (id, to, true),
                 Remedy::Migrate { id, to } | Remedy::Resume { id, to } => (id, to, false),
             };
-            let is_need = |need: &Need| need.group == id.group && need.index == id.index;
-            let Some(need) = self.needs.iter().position(is_need) else {
+            let is_affected =
+                |sample: &PlannedSample| sample.group == id.group && sample.index == id.index;
+            let Some(sample) = self.samples.iter().position(is_affected) else {
                 continue;
             };
-            let Some(at) = self.streams.iter().position(|stream| stream.need == need) else {
+            let Some(stream_index) = self
+                .streams
+                .iter()
+                .position(|stream| stream.sample == sample)
+            else {
                 continue;
             };
-            let made = self.streams[at].made;
+            let generated = self.streams[stream_index].generated;
             if !is_hedge {
-                self.streams.swap_remove(at);
+                self.streams.swap_remove(stream_index);
             }
             self.remedies += 1;
             let target = to.as_str().parse().unwrap_or(0);
-            self.begin(need, target, made);
+            self.start_stream(sample, target, generated);
         }
     }
 
-    /// Measures the pace of each target by its present streams.
-    fn observe(&mut self) {
+    /// Measures the milliseconds per token of each target from its running streams.
+    fn measure_paces(&mut self) {
         let mut sums: HashMap<usize, (f64, f64)> = HashMap::new();
         for stream in &self.streams {
-            let made = stream.made - stream.resumed;
-            if made >= 1.0 {
+            let generated = stream.generated - stream.resumed;
+            if generated >= 1.0 {
                 let sum = sums.entry(stream.target).or_default();
                 sum.0 += (self.now - stream.started) as f64;
-                sum.1 += made;
+                sum.1 += generated;
             }
         }
         let now = self.now;
-        for target in 0..self.paces.len() {
+        for target in 0..self.pace_ms.len() {
             let known = sums.get(&target);
-            // An empty target's pace is that of its last streams, never less than one stream's.
+            // A target without streams keeps its last pace, but at least that of an idle engine.
             if let Some((ms, tokens)) = known {
-                self.paces[target] = ms / tokens;
+                self.pace_ms[target] = ms / tokens;
             } else if now > 0 && self.running(target) == 0 {
-                self.paces[target] = self.paces[target].max(STEP_MS);
+                self.pace_ms[target] = self.pace_ms[target].max(ENGINE_STEP_MS);
             }
         }
     }
@@ -317,53 +334,55 @@
     fn sort_queue(&mut self) {
         let mut longest: HashMap<u32, u32> = HashMap::new();
         for stream in &self.streams {
-            let most = longest.entry(self.needs[stream.need].group).or_default();
-            *most = (*most).max(stream.made as u32);
+            let longest_answer = longest
+                .entry(self.samples[stream.sample].group)
+                .or_default();
+            *longest_answer = (*longest_answer).max(stream.generated as u32);
         }
-        let mut rests = HashMap::new();
-        for need in &self.needs {
-            let running = longest.get(&need.group).copied().unwrap_or(0);
-            rests.entry(need.group).or_insert_with(|| {
+        let mut expected_lengths = HashMap::new();
+        for sample in &self.samples {
+            let running = longest.get(&sample.group).copied().unwrap_or(0);
+            expected_lengths.entry(sample.group).or_insert_with(|| {
                 self.stragglers
-                    .expected_length(&id_of(need), running, MAX_TOKENS)
+                    .expected_length(&sample_id(sample), running, MAX_TOKENS)
             });
         }
-        let rest = |need: usize| rests[&self.needs[need].group];
-        let is_rest = |need: usize| self.needs[need].index > 0;
+        let expected = |sample: usize| expected_lengths[&self.samples[sample].group];
+        let is_follower = |sample: usize| self.samples[sample].index > 0;
         self.queue.make_contiguous().sort_by(|&a, &b| {
-            is_rest(a)
-                .cmp(&is_rest(b))
-                .then(rest(b).total_cmp(&rest(a)))
+            is_follower(a)
+                .cmp(&is_follower(b))
+                .then(expected(b).total_cmp(&expected(a)))
         });
     }
 
     fn attempt(&self, stream: &Stream) -> Attempt {
         Attempt {
-            id: id_of(&self.needs[stream.need]),
+            id: sample_id(&self.samples[stream.sample]),
             last_token_at: Millis(self.now),
             max_tokens: MAX_TOKENS,
             prompt_tokens: PROMPT_TOKENS,
             started_at: Millis(stream.started),
-            target: name(stream.target),
-            tokens: stream.made as u32,
+            target: target_name(stream.target),
+            tokens: stream.generated as u32,
             resumed_tokens: stream.resumed as u32,
             hedge: None,
         }
     }
 }
 
-fn cost(need: &Need) -> f64 {
-    f64::from(PROMPT_TOKENS) / PREFILL_RATIO + f64::from(need.tokens)
+fn cost_in_tokens(sample: &PlannedSample) -> f64 {
+    f64::from(PROMPT_TOKENS) / PREFILL_RATIO + f64::from(sample.tokens)
 }
 
-fn name(target: usize) -> TargetName {
+fn target_name(target: usize) -> TargetName {
     target.to_string().into()
 }
 
-fn id_of(need: &Need) -> SampleId {
+fn sample_id(sample: &PlannedSample) -> SampleId {
     SampleId {
-        group: need.group,
-        index: need.index,
+        group: sample.group,
+        index: sample.index,
         ..SampleId::default()
     }
 }
--- a/crates/godwitspool-measure/src/rollout/steps_harness.rs
+++ b/crates/godwitspool-measure/src/rollout/steps_harness.rs
@@ -1,4 +1,4 @@
-//! One trainer's steps on one host, driven without sockets.
+//! Drives the steps of one trainer on one host, without sockets.
 
 use godwitspool_rollout::{
     Answer, GroupSpec, Message, Request, Sample, SampleId, StepAction, StepEvent, StepNumber,
@@ -6,33 +6,37 @@
 };
 use godwitspool_types::{Millis, WeightVersion};
 
+/// The steps of trainer `t` on host `h`, which is the only host and therefore home.
 pub(crate) struct StepsHarness {
     pub(crate) now: Millis,
+    /// Samples that were started and have not finished, with their generation.
     pub(crate) started: Vec<(u64, SampleId)>,
     pub(crate) steps: TrainerSteps,
 }
 
 impl StepsHarness {
     pub(crate) fn new(rules: StepRules) -> Self {
-        let mut lab = Self {
+        let mut harness = Self {
             now: Millis::ZERO,
             started: Vec::new(),
             steps: TrainerSteps::new("t".into(), "h".into(), rules),
         };
-        lab.tell(StepEvent::Ranked(vec!["h".into()]));
-        lab
+        harness.apply(StepEvent::Ranked(vec!["h".into()]));
+        harness
     }
 
-    pub(crate) fn tell(&mut self, event: StepEvent) -> Option<Answer> {
-        let mut given = None;
+    /// Applies an event at the current time and returns the answer, if any. Adds the samples that
+    /// it starts to `started`.
+    pub(crate) fn apply(&mut self, event: StepEvent) -> Option<Answer> {
+        let mut last_answer = None;
         for action in self.steps.decide(event, self.now) {
             match action {
-                StepAction::Answer { answer, .. } => given = Some(answer),
+                StepAction::Answer { answer, .. } => last_answer = Some(answer),
                 StepAction::Start { generation, id, .. } => self.started.push((generation, id)),
                 StepAction::Cancel { .. } | StepAction::Count(_) | StepAction::Send { .. } => {}
             }
         }
-        given
+        last_answer
     }
 
     pub(crate) fn submit(&mut self, step: u64, groups: u32, samples: u32) -> Option<Answer> {
@@ -54,16 +58,17 @@
             step,
             total,
         };
-        self.tell(StepEvent::Request { reply: 1, request })
+        self.apply(StepEvent::Request { reply: 1, request })
     }
 
-    pub(crate) fn finish(&mut self, at: usize, tokens: usize, version: &WeightVersion) {
-        let (generation, id) = self.started.swap_remove(at);
+    /// Finishes the started sample at `index` with a number of tokens of one weight version.
+    pub(crate) fn finish(&mut self, index: usize, tokens: usize, version: &WeightVersion) {
+        let (generation, id) = self.started.swap_remove(index);
         let mut sample = Sample::new(id);
         for _ in 0..tokens {
             sample.push("token", version);
         }
-        self.tell(StepEvent::Finished { generation, sample });
+        self.apply(StepEvent::Finished { generation, sample });
     }
 
     pub(crate) fn fetch(&mut self, step: u64, page: u32) -> Option<Answer> {
@@ -72,6 +77,6 @@
             page,
             step: StepNumber(step),
         };
-        self.tell(StepEvent::Request { reply: 1, request })
+        self.apply(StepEvent::Request { reply: 1, request })
     }
 }
--- a/crates/godwitspool-measure/src/rollout/stragglers.rs
+++ b/crates/godwitspool-measure/src/rollout/stragglers.rs
@@ -1,24 +1,24 @@
-//! Step time with 2% stragglers at 10 times the length, by kind and policy.
+//! Step time when 2% of the samples or targets take 10 times as long, by policy.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use super::step_run::{Fleet, Need, Outcome, Policy, StepRun};
+use super::step_run::{Fleet, Outcome, PlannedSample, Policy, StepRun};
 use crate::Table;
 
 const GROUPS: u32 = 1_024;
-const SAMPLES: u32 = 8;
+const GROUP_SAMPLES: u32 = 8;
 const TARGETS: usize = 50;
-const SLOTS: u32 = 16;
+const TARGET_SLOTS: u32 = 16;
 const MEAN_TOKENS: f64 = 500.0;
-const PART: f64 = 0.02;
-const TIMES: f64 = 10.0;
+const STRAGGLER_SHARE: f64 = 0.02;
+const STRAGGLER_FACTOR: f64 = 10.0;
 
-/// What makes a straggler.
+/// What causes the stragglers. The names are printed in the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Kind {
     /// All answers to some prompts are long.
     LongGroup,
-    /// Single answers are long, whatever the prompt.
+    /// Single answers are long, independent of the prompt.
     LongSample,
     None,
     /// One target in fifty is slow.
@@ -36,23 +36,23 @@
         "remedies",
     ];
     let mut table = Table::new("stragglers", &columns);
-    let calm = step(Kind::None, Policy::None, seed);
+    let baseline = run_step(Kind::None, Policy::None, seed);
     for kind in [
         Kind::None,
         Kind::SlowTarget,
         Kind::LongGroup,
         Kind::LongSample,
     ] {
-        let least = least_s(kind, seed);
+        let ideal_s = ideal_step_s(kind, seed);
         for policy in [Policy::None, Policy::FixedHedge, Policy::Predicted] {
-            let outcome = step(kind, policy, seed);
+            let outcome = run_step(kind, policy, seed);
             table.push_row([
                 format!("{kind:?}"),
                 format!("{policy:?}"),
                 format!("{:.1}", outcome.step_s),
-                format!("{:.3}", outcome.step_s / calm.step_s),
-                format!("{:.3}", outcome.step_s / least),
-                format!("{:.2}", outcome.extra * 100.0),
+                format!("{:.3}", outcome.step_s / baseline.step_s),
+                format!("{:.3}", outcome.step_s / ideal_s),
+                format!("{:.2}", outcome.extra_work * 100.0),
                 outcome.remedies.to_string(),
             ]);
         }
@@ -60,54 +60,59 @@
     table
 }
 
-fn step(kind: Kind, policy: Policy, seed: u64) -> Outcome {
-    StepRun::new(fleet(kind), needs(kind, seed), policy).run()
+fn run_step(kind: Kind, policy: Policy, seed: u64) -> Outcome {
+    StepRun::new(fleet(kind), samples(kind, seed), policy).run()
 }
 
-/// Returns the time of the same tokens without stragglers among them: every answer of one length.
-fn least_s(kind: Kind, seed: u64) -> f64 {
-    let mut needs = needs(kind, seed);
-    let all: u64 = needs.iter().map(|need| u64::from(need.tokens)).sum();
-    let mean = (all / needs.len() as u64) as u32;
-    for need in &mut needs {
-        need.tokens = mean;
+/// Returns the step time for the same number of tokens without stragglers, with all samples of
+/// equal length.
+fn ideal_step_s(kind: Kind, seed: u64) -> f64 {
+    let mut samples = samples(kind, seed);
+    let total_tokens: u64 = samples.iter().map(|sample| u64::from(sample.tokens)).sum();
+    let mean = (total_tokens / samples.len() as u64) as u32;
+    for sample in &mut samples {
+        sample.tokens = mean;
     }
-    StepRun::new(fleet(Kind::None), needs, Policy::None)
+    StepRun::new(fleet(Kind::None), samples, Policy::None)
         .run()
         .step_s
 }
 
 fn fleet(kind: Kind) -> Fleet {
-    let mut slowness = vec![1.0; TARGETS];
+    let mut slowdowns = vec![1.0; TARGETS];
     if kind == Kind::SlowTarget {
-        slowness[0] = TIMES;
+        slowdowns[0] = STRAGGLER_FACTOR;
     }
     Fleet {
-        slots: SLOTS,
-        slowness,
+        slots: TARGET_SLOTS,
+        slowdowns,
     }
 }
 
-fn needs(kind: Kind, seed: u64) -> Vec<Need> {
+fn samples(kind: Kind, seed: u64) -> Vec<PlannedSample> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut needs = Vec::new();
+    let mut samples = Vec::new();
     for group in 0..GROUPS {
-        let is_long_group = rng.random_bool(PART);
-        for index in 0..SAMPLES {
-            let is_long_sample = rng.random_bool(PART);
+        let is_long_group = rng.random_bool(STRAGGLER_SHARE);
+        for index in 0..GROUP_SAMPLES {
+            let is_long_sample = rng.random_bool(STRAGGLER_SHARE);
             let is_long = match kind {
                 Kind::LongGroup => is_long_group,
                 Kind::LongSample => is_long_sample,
                 Kind::None | Kind::SlowTarget => false,
             };
-            let usual = MEAN_TOKENS * rng.random_range(0.6..1.4);
-            let tokens = if is_long { usual * TIMES } else { usual };
-            needs.push(Need {
+            let normal = MEAN_TOKENS * rng.random_range(0.6..1.4);
+            let tokens = if is_long {
+                normal * STRAGGLER_FACTOR
+            } else {
+                normal
+            };
+            samples.push(PlannedSample {
                 group,
                 index,
                 tokens: tokens as u32,
             });
         }
     }
-    needs
+    samples
 }
--- a/crates/godwitspool-measure/src/rollout/trainer_system.rs
+++ b/crates/godwitspool-measure/src/rollout/trainer_system.rs
@@ -1,4 +1,4 @@
-//! Hosts, stand-ins and a trainer, over real sockets in this process.
+//! Hosts, a fake platform with fake engines, and a trainer client, over real sockets.
 
 use std::{
     collections::BTreeMap,
@@ -22,14 +22,14 @@
 use serde_json::{Value, json};
 use ureq::Agent;
 
-const BOUND: Duration = Duration::from_mins(1);
+const RETRY_TIMEOUT: Duration = Duration::from_mins(1);
 const DCS: [&str; 2] = ["north", "south"];
 const KEY: &str = "trainer-key";
 const MAX_TOKENS: u32 = 48;
 const SERVICE: &str = "party/chat";
 const TRAINER: &str = "party/motifs";
 
-/// Hosts and engines in two data centres, the engines of the second one reclaimable.
+/// Hosts and engines in two data centres. The engines of the second one are reclaimable.
 pub(super) struct TrainerSystem {
     hosts: Vec<(HostEntry, Entry, Steward)>,
     pub(super) platform: Platform,
@@ -43,14 +43,14 @@
             platform,
         };
         for host in 0..hosts {
-            system.add(&format!("h{host}"), DCS[host % DCS.len()])?;
+            system.add_host(&format!("h{host}"), DCS[host % DCS.len()])?;
         }
-        system.list_hosts();
+        system.publish_host_list();
         thread::sleep(Duration::from_secs(3));
         Ok(system)
     }
 
-    fn add(&mut self, name: &str, dc: &str) -> io::Result<()> {
+    fn add_host(&mut self, name: &str, dc: &str) -> io::Result<()> {
         let peers = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()?;
         let settings = StewardSettings::default()
             .with_host(name, dc)
@@ -75,23 +75,20 @@
         Ok(())
     }
 
-    fn list_hosts(&self) {
+    fn publish_host_list(&self) {
         let listed = self.hosts.iter().map(|(listed, ..)| listed.clone());
         self.platform.set_hosts(listed.collect());
     }
 
-    /// Ends the host that is home of the trainer's steps, without a word to the others.
+    /// Kills the host that is home of the trainer's steps, without announcing it to the others.
     pub(super) fn kill_home(&mut self) {
         let names = self.hosts.iter().map(|(listed, ..)| listed.host.clone());
         let ranked: Vec<HostName> = rank_hosts(&TrainerName::from(TRAINER), names);
         self.hosts
             .retain(|(listed, ..)| Some(&listed.host) != ranked.first());
-        self.list_hosts();
+        self.publish_host_list();
     }
 
-    // -----------------------------------------------------------------------------------------------
-    // The trainer
-
     pub(super) fn submit(&self, step: u64, groups: u32, samples: u32) -> io::Result<()> {
         let specs = (0..groups).map(|group| {
             json!({ "group": group, "samples": samples, "max_tokens": MAX_TOKENS,
@@ -99,33 +96,33 @@
         });
         let specs: Vec<_> = specs.collect();
         let body = json!({ "groups": specs, "total": groups });
-        self.repeat(|address| post(address, &format!("{step}/groups"), &body))
+        self.retry_on_hosts(|address| post(address, &format!("{step}/groups"), &body))
             .map(drop)
     }
 
     pub(super) fn fetch(&self, step: u64) -> io::Result<Value> {
-        self.repeat(|address| get(address, &format!("{step}/batch?wait_ms=2000")))
+        self.retry_on_hosts(|address| get(address, &format!("{step}/batch?wait_ms=2000")))
     }
 
     pub(super) fn acknowledge(&self, step: u64, batch: &Value) -> io::Result<()> {
         let body = json!({ "digest": batch["digest"] });
-        self.repeat(|address| post(address, &format!("{step}/ack"), &body))
+        self.retry_on_hosts(|address| post(address, &format!("{step}/ack"), &body))
             .map(drop)
     }
 
-    /// Asks one host after the other until one answers with 200.
-    fn repeat(&self, ask: impl Fn(SocketAddr) -> Option<Value>) -> io::Result<Value> {
-        let end = Instant::now() + BOUND;
+    /// Sends a request to one host after the other until one answers with status 200.
+    fn retry_on_hosts(&self, send: impl Fn(SocketAddr) -> Option<Value>) -> io::Result<Value> {
+        let end = Instant::now() + RETRY_TIMEOUT;
         while Instant::now() < end {
             for (_, entry, _) in &self.hosts {
-                if let Some(answer) = ask(entry.address()) {
+                if let Some(answer) = send(entry.address()) {
                     return Ok(answer);
                 }
             }
             thread::sleep(Duration::from_millis(10));
         }
         Err(io::Error::other(
-            "the trainer got no answer within its bound",
+            "timed out: no host answered the trainer with status 200",
         ))
     }
 }
@@ -195,7 +192,7 @@
     configuration
 }
 
-fn agent() -> Agent {
+fn new_agent() -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .timeout_global(Some(Duration::from_secs(5)));
@@ -207,19 +204,19 @@
 }
 
 fn post(address: SocketAddr, path: &str, body: &Value) -> Option<Value> {
-    let request = agent().post(url(address, path));
+    let request = new_agent().post(url(address, path));
     let request = request.header("Authorization", format!("Bearer {KEY}"));
-    whole(request.send_json(body).ok()?)
+    parse_success(request.send_json(body).ok()?)
 }
 
 fn get(address: SocketAddr, path: &str) -> Option<Value> {
-    let request = agent().get(url(address, path));
+    let request = new_agent().get(url(address, path));
     let request = request.header("Authorization", format!("Bearer {KEY}"));
-    whole(request.call().ok()?)
+    parse_success(request.call().ok()?)
 }
 
-fn whole(mut answer: ureq::http::Response<ureq::Body>) -> Option<Value> {
+fn parse_success(mut answer: ureq::http::Response<ureq::Body>) -> Option<Value> {
     let text = answer.body_mut().read_to_string().ok()?;
-    let is_done = answer.status().as_u16() == 200;
-    is_done.then(|| serde_json::from_str(&text).ok()).flatten()
+    let is_ok = answer.status().as_u16() == 200;
+    is_ok.then(|| serde_json::from_str(&text).ok()).flatten()
 }
