--- a/crates/godwitspool-measure/src/control/in_force.rs
+++ b/crates/godwitspool-measure/src/control/in_force.rs
@@ -1,4 +1,4 @@
-//! Time from the acceptance of a record to its being in force on every host.
+//! Time from appending a record to the log until it is in force on every host.
 
 use std::{
     ops::Range,
@@ -13,13 +13,13 @@
 use godwitspool_version::{Record, RecordBody};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use super::rig::{Host, processor_time};
+use super::log_host::{Host, cpu_time};
 use crate::{Options, Table};
 
 const CHANGES: u64 = 40;
-/// Bounds of the random time between changes, in milliseconds.
+/// Range of the random pause before each change, in milliseconds.
 const SPACING_MS: Range<u64> = 200..900;
-const PATIENCE: Duration = Duration::from_mins(1);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_mins(1);
 
 pub(crate) fn run(options: &Options) -> Vec<Table> {
     let columns = [
@@ -42,23 +42,25 @@
     vec![table]
 }
 
-/// Appends changes one at a time; the platform's answers are `slow_ms` late.
-fn row(hosts: usize, dcs: usize, slow_ms: u64, seed: u64) -> [String; 10] {
+/// Appends changes one at a time while the platform delays its answers by `delay_ms`.
+fn row(hosts: usize, dcs: usize, delay_ms: u64, seed: u64) -> [String; 10] {
     let platform = Platform::start(PlatformOptions::default()).expect("a port is free");
     let address = platform.address();
     let start = |number| Host::start(number, &format!("dc-{}", number % dcs), address);
-    let rig: Vec<_> = (0..hosts).map(start).collect();
-    introduce(&rig);
-    platform.set_slow(slow_ms);
+    let followers: Vec<_> = (0..hosts).map(start).collect();
+    wait_until_connected(&followers);
+    platform.set_slow(delay_ms);
     let mut rng = StdRng::seed_from_u64(seed);
-    let (begun, worked) = (Instant::now(), processor_time());
+    let (started, cpu_before) = (Instant::now(), cpu_time());
     let reads = || {
-        rig.iter()
+        followers
+            .iter()
             .map(|host| host.reads.load(Ordering::Relaxed))
             .sum::<usize>()
     };
     let sent = || {
-        rig.iter()
+        followers
+            .iter()
             .map(|host| host.gossip.counts().sent_bytes)
             .sum::<u64>()
     };
@@ -66,21 +68,21 @@
     let mut times: Vec<_> = (0..CHANGES)
         .map(|change| {
             thread::sleep(Duration::from_millis(rng.random_range(SPACING_MS)));
-            time_one(&platform, &rig, change)
+            time_one(&platform, &followers, change)
         })
         .collect();
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     let host_seconds = seconds * hosts as f64;
-    let worked = processor_time().saturating_sub(worked).as_secs_f64();
+    let cpu_used = cpu_time().saturating_sub(cpu_before).as_secs_f64();
     times.sort_unstable();
     let ms = |time: Duration| format!("{:.0}", time.as_secs_f64() * 1_000.0);
     [
         hosts.to_string(),
         dcs.to_string(),
-        if slow_ms == 0 {
+        if delay_ms == 0 {
             "fast".to_owned()
         } else {
-            format!("{slow_ms} ms late")
+            format!("{delay_ms} ms late")
         },
         CHANGES.to_string(),
         ms(times.iter().sum::<Duration>() / CHANGES as u32),
@@ -88,36 +90,44 @@
         ms(times[times.len() - 1]),
         format!("{:.1}", (reads() - reads_before) as f64 / seconds),
         format!("{:.0}", (sent() - sent_before) as f64 / host_seconds),
-        format!("{:.2}", worked * 100.0 / host_seconds),
+        format!("{:.2}", cpu_used * 100.0 / host_seconds),
     ]
 }
 
-fn introduce(rig: &[Host]) {
-    let listed: Vec<_> = rig.iter().map(|host| host.entry.clone()).collect();
-    for host in rig {
+fn wait_until_connected(followers: &[Host]) {
+    let listed: Vec<_> = followers.iter().map(|host| host.entry.clone()).collect();
+    for host in followers {
         host.gossip.set_host_list(listed.clone());
     }
-    // Hosts of other data centres are known by their first few only.
-    wait_until(|| rig.iter().all(|host| host.reader.read(Replica::is_ready)));
+    // A host knows only the first few hosts of other data centres, so there is no fixed number of
+    // members to wait for.
+    wait_until(|| {
+        followers
+            .iter()
+            .all(|host| host.reader.read(Replica::is_ready))
+    });
     thread::sleep(Duration::from_secs(3));
 }
 
-/// Appends one record and times until it is in force on every host.
-fn time_one(platform: &Platform, rig: &[Host], change: u64) -> Duration {
+/// Appends one record and returns the time until it is in force on every host.
+fn time_one(platform: &Platform, followers: &[Host], change: u64) -> Duration {
     let body = RecordBody::QuarantineAdd {
         fingerprint: change,
         targets: Vec::new(),
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let Offset(offset) = platform.append(Record::new(body).encode());
-    wait_until(|| rig.iter().all(|host| host.next() > Offset(offset)));
-    begun.elapsed()
+    wait_until(|| followers.iter().all(|host| host.next() > Offset(offset)));
+    started.elapsed()
 }
 
-fn wait_until(holds: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < PATIENCE, "a host doesn't follow");
+fn wait_until(condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(
+            started.elapsed() < CATCH_UP_TIMEOUT,
+            "a host did not catch up within {CATCH_UP_TIMEOUT:?}"
+        );
         thread::sleep(Duration::from_millis(1));
     }
 }
--- a/crates/godwitspool-measure/src/control/log.rs
+++ b/crates/godwitspool-measure/src/control/log.rs
@@ -1,4 +1,4 @@
-//! The log: how fast it is replayed, and what a snapshot weighs.
+//! Replay rate of the log, and size, write time and load time of its snapshots.
 
 use std::time::Instant;
 
@@ -14,13 +14,13 @@
 
 const RECORDS: usize = 50_000;
 const PAGE_RECORDS: usize = 1_000;
-const TIMED: u32 = 5;
+const TIMED_CALLS: u32 = 5;
 
 pub(crate) fn run(_options: &Options) -> Vec<Table> {
     vec![replay(), snapshots()]
 }
 
-/// Replays records as a host does that starts from the log's first one.
+/// Replays records from the start of the log, as a host without a snapshot does.
 fn replay() -> Table {
     let columns = ["records", "of", "bytes_per_record", "records_per_s"];
     let mut table = Table::new("log-replay", &columns);
@@ -32,11 +32,11 @@
     for (name, records) in [("lease", lease), ("quarantine", quarantine), ("key", key)] {
         let bytes: usize = records.iter().map(|record| record.body.len()).sum();
         let mut replica = Replica::default();
-        let begun = Instant::now();
+        let started = Instant::now();
         for page in records.chunks(PAGE_RECORDS) {
             replica.apply(page).expect("offsets are in order");
         }
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         table.push_row([
             RECORDS.to_string(),
             name.to_owned(),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Weighs snapshots by workspaces, keys and quarantined requests.
+/// Measures snapshots with different numbers of workspaces, keys and quarantined requests.
 fn snapshots() -> Table {
     let columns = [
         "workspaces",
@@ -102,8 +102,8 @@
     for (workspaces, keys, quarantined) in sizes {
         let fold = fold(workspaces, keys, quarantined);
         let text = fold.snapshot();
-        let write_us = time_us(TIMED, || fold.snapshot());
-        let load_us = time_us(TIMED, || Fold::restore(&text).is_ok());
+        let write_us = time_us(TIMED_CALLS, || fold.snapshot());
+        let load_us = time_us(TIMED_CALLS, || Fold::restore(&text).is_ok());
         table.push_row([
             workspaces.to_string(),
             keys.to_string(),
--- a/crates/godwitspool-measure/src/control/rig.rs
+++ b/crates/godwitspool-measure/src/control/log_host.rs
@@ -1,4 +1,4 @@
-//! Hosts with gossip and a log reader over real sockets.
+//! A host that runs only gossip and a log reader, over real sockets.
 
 use std::{
     fs,
@@ -26,27 +26,30 @@
 };
 use godwitspool_types::{Incarnation, Millis, Offset};
 
-const TAIL_WAIT: Millis = Millis(500);
-/// Ticks of processor time a second on Linux.
+/// Longest time that a tail request waits for new records.
+const MAX_TAIL_WAIT: Millis = Millis(500);
+/// Clock ticks per second in `/proc/self/stat`.
 const TICKS_PER_S: u64 = 100;
 
-/// A host that follows the log.
+/// A host that follows the log and serves its tail to other hosts.
 pub(super) struct Host {
     pub entry: HostEntry,
     pub gossip: Arc<Gossip>,
+    /// Number of reads of the platform's log by this host.
     pub reads: Arc<AtomicUsize>,
     pub reader: Arc<LogReader>,
     _server: Server,
 }
 
 impl Host {
-    /// Starts a host.
+    /// Starts a host with all services on free ports of the loopback address.
     pub fn start(number: usize, dc: &str, platform: SocketAddr) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the loopback is free");
+        let listener =
+            TcpListener::bind("127.0.0.1:0").expect("the loopback address has a free port");
         let address = listener
             .local_addr()
             .expect("a bound socket has an address");
-        let socket = UdpSocket::bind(address).expect("the port is free for UDP too");
+        let socket = UdpSocket::bind(address).expect("the TCP port is also free for UDP");
         let name = format!("{dc}-{number}");
         let own = MemberRecord::default()
             .with_host(name.clone(), dc)
@@ -57,7 +60,7 @@
         let gossip = Gossip::start(socket, own, rules, clock, sender).expect("a thread starts");
         let gossip = Arc::new(gossip);
         let reads = Arc::new(AtomicUsize::new(0));
-        let counted = Counted {
+        let counting_platform = CountingPlatform {
             platform: http::Platform::new(format!("http://{platform}")),
             reads: Arc::clone(&reads),
         };
@@ -67,18 +70,24 @@
             ..LogReaderOptions::default()
         };
         let (sender, _) = mpsc::channel::<LogEvent>();
-        let reader = LogReader::start(options, counted, Arc::clone(&gossip), clock, sender);
+        let reader = LogReader::start(
+            options,
+            counting_platform,
+            Arc::clone(&gossip),
+            clock,
+            sender,
+        );
         let reader = Arc::new(reader.expect("a thread starts"));
-        let answers = Arc::clone(&reader);
+        let tail_reader = Arc::clone(&reader);
         let handler = move |request| match request {
-            StewardRequest::Snapshot => answers.snapshot(),
-            StewardRequest::Tail(from) => answers.tail(from, TAIL_WAIT),
+            StewardRequest::Snapshot => tail_reader.snapshot(),
+            StewardRequest::Tail(from) => tail_reader.tail(from, MAX_TAIL_WAIT),
             _ => StewardAnswer::NotReady,
         };
         let bounds = ServeBounds::default().with_threads(256);
         let server = Server::start(listener, bounds, handler).expect("a thread starts");
         Self {
-            entry: listing(&name, dc, address),
+            entry: host_entry(&name, dc, address),
             gossip,
             reads,
             reader,
@@ -86,14 +95,14 @@
         }
     }
 
-    /// Returns the offset up to which records are in force.
+    /// Returns the offset of the next record. All records before it are in force.
     pub fn next(&self) -> Offset {
         self.reader.read(|replica| replica.fold().next())
     }
 }
 
-/// Returns a host's entry in the platform's list.
-pub(super) fn listing(host: &str, dc: &str, address: SocketAddr) -> HostEntry {
+/// Returns the entry of a host in the platform's host list.
+pub(super) fn host_entry(host: &str, dc: &str, address: SocketAddr) -> HostEntry {
     HostEntry {
         address: address.ip(),
         dc: dc.into(),
@@ -104,15 +113,16 @@
     }
 }
 
-/// Returns the processor time that this process has used.
-pub(super) fn processor_time() -> Duration {
+/// Returns the CPU time that this process has used.
+pub(super) fn cpu_time() -> Duration {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat
         .rsplit(')')
         .next()
         .unwrap_or_default()
         .split_whitespace();
-    // User and system time are the 14th and 15th field; two stand before the name's end.
+    // User and system time are fields 14 and 15. The first two, the PID and the name, end with the
+    // last parenthesis.
     let ticks: u64 = fields
         .skip(11)
         .take(2)
@@ -121,13 +131,13 @@
     Duration::from_millis(ticks * 1_000 / TICKS_PER_S)
 }
 
-/// Counts a host's reads of the platform's log.
-struct Counted {
+/// Platform client that counts the reads of the log.
+struct CountingPlatform {
     platform: http::Platform,
     reads: Arc<AtomicUsize>,
 }
 
-impl PlatformApi for Counted {
+impl PlatformApi for CountingPlatform {
     fn append(&self, records: &[String]) -> Result<Appended, PlatformError> {
         self.platform.append(records)
     }
--- a/crates/godwitspool-measure/src/control/membership.rs
+++ b/crates/godwitspool-measure/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: how soon a dead host is gone, who is removed wrongly, and what it costs.
+//! Membership: failure detection time, false positives, network load and CPU time.
 
 use std::{
     net::UdpSocket,
@@ -14,17 +14,17 @@
 };
 use godwitspool_types::{Incarnation, Millis};
 
-use super::rig::{listing, processor_time};
+use super::log_host::{cpu_time, host_entry};
 use crate::{Options, Table};
 
 const SIZES: [usize; 3] = [10, 50, 131];
 const LOSSES: [f64; 2] = [0.0, 0.05];
 const KILLS: usize = 20;
-const WATCHED: Millis = Millis(600_000);
-const LOADED: Millis = Millis(60_000);
-const FIND: Millis = Millis(120_000);
-/// Other data centres at the size to design for.
-const FAR_DCS: usize = 28;
+const FALSE_POSITIVE_RUN: Millis = Millis(600_000);
+const LOAD_RUN: Millis = Millis(60_000);
+const CONVERGENCE_TIMEOUT: Millis = Millis(120_000);
+/// Number of other data centres at the design size.
+const REMOTE_DCS: usize = 28;
 const SOCKET_SIZES: [usize; 2] = [10, 50];
 const SOCKET_RUN: Duration = Duration::from_secs(10);
 
@@ -40,13 +40,16 @@
 fn data_centre(hosts: usize, loss: f64, seed: u64) -> Net {
     let mut net = Net::new(seed);
     net.add_hosts("tbilisi", hosts);
-    let found = net.run_until(FIND, |net| net.all_see(hosts));
-    assert!(found.is_some(), "{hosts} hosts don't find each other");
+    let converged = net.run_until(CONVERGENCE_TIMEOUT, |net| net.all_see(hosts));
+    assert!(
+        converged.is_some(),
+        "{hosts} hosts did not find each other within {CONVERGENCE_TIMEOUT}"
+    );
     net.loss = loss;
     net
 }
 
-/// Kills hosts one at a time and times until all others see them gone.
+/// Kills one host per run and measures the time until all others have removed it.
 fn detection(seed: u64) -> Table {
     let columns = [
         "hosts",
@@ -60,21 +63,22 @@
     for hosts in SIZES {
         for loss in LOSSES {
             let times: Vec<_> = (0..KILLS)
-                .map(|kill| kill_one(hosts, loss, seed, kill))
+                .map(|kill| measure_kill(hosts, loss, seed, kill))
                 .collect();
-            let mean =
-                |pick: fn(&Gone) -> u64| times.iter().map(pick).sum::<u64>() / times.len() as u64;
+            let mean = |pick: fn(&DetectionTimes) -> u64| {
+                times.iter().map(pick).sum::<u64>() / times.len() as u64
+            };
             let max = times
                 .iter()
-                .map(|gone| gone.all_ms)
+                .map(|latency| latency.all_ms)
                 .max()
                 .unwrap_or_default();
             table.push_row([
                 hosts.to_string(),
                 format!("{:.0}", loss * 100.0),
                 KILLS.to_string(),
-                mean(|gone| gone.first_ms).to_string(),
-                mean(|gone| gone.all_ms).to_string(),
+                mean(|latency| latency.first_ms).to_string(),
+                mean(|latency| latency.all_ms).to_string(),
                 max.to_string(),
             ]);
         }
@@ -82,27 +86,27 @@
     table
 }
 
-/// When the first and when all others saw that a host was gone.
-struct Gone {
+/// Times from the kill of a host until the first other host, and until all others, removed it.
+struct DetectionTimes {
     first_ms: u64,
     all_ms: u64,
 }
 
-fn kill_one(hosts: usize, loss: f64, seed: u64, kill: usize) -> Gone {
+fn measure_kill(hosts: usize, loss: f64, seed: u64, kill: usize) -> DetectionTimes {
     let mut net = data_centre(hosts, loss, seed + kill as u64);
     net.run_for(Millis(1_000 + 37 * kill as u64));
     net.hosts[0].is_running = false;
-    let believers = |net: &Net| (1..hosts).filter(|host| net.sees(*host, 0)).count();
-    let first = net.run_until(FIND, |net| believers(net) < hosts - 1);
-    let rest = net.run_until(FIND, |net| believers(net) == 0);
-    let first_ms = first.unwrap_or(FIND).0;
-    Gone {
+    let views_alive = |net: &Net| (1..hosts).filter(|host| net.sees(*host, 0)).count();
+    let until_first = net.run_until(CONVERGENCE_TIMEOUT, |net| views_alive(net) < hosts - 1);
+    let after_first = net.run_until(CONVERGENCE_TIMEOUT, |net| views_alive(net) == 0);
+    let first_ms = until_first.unwrap_or(CONVERGENCE_TIMEOUT).0;
+    DetectionTimes {
         first_ms,
-        all_ms: first_ms + rest.unwrap_or(FIND).0,
+        all_ms: first_ms + after_first.unwrap_or(CONVERGENCE_TIMEOUT).0,
     }
 }
 
-/// Counts hosts that are suspected and removed although all of them live.
+/// Counts suspicions and removals while all hosts are alive.
 fn false_positives(seed: u64) -> Table {
     let columns = [
         "hosts",
@@ -116,9 +120,9 @@
     for hosts in SIZES {
         for loss in [0.05, 0.15] {
             let mut net = data_centre(hosts, loss, seed);
-            net.run_for(WATCHED);
+            net.run_for(FALSE_POSITIVE_RUN);
             let counts = || net.hosts.iter().map(|host| host.membership.counts());
-            let hours = hosts as f64 * WATCHED.seconds() / 3_600.0;
+            let hours = hosts as f64 * FALSE_POSITIVE_RUN.seconds() / 3_600.0;
             table.push_row([
                 hosts.to_string(),
                 format!("{:.0}", loss * 100.0),
@@ -138,7 +142,7 @@
     table
 }
 
-/// Measures what hosts send and compute while nothing happens.
+/// Measures what hosts send and how much CPU time they use while the membership does not change.
 fn load(seed: u64) -> Table {
     let columns = [
         "hosts",
@@ -151,7 +155,7 @@
         "max_core_percent",
     ];
     let mut table = Table::new("membership-load", &columns);
-    for (hosts, dcs) in [(10, 0), (50, 0), (131, 0), (4, 2), (131, FAR_DCS)] {
+    for (hosts, dcs) in [(10, 0), (50, 0), (131, 0), (4, 2), (131, REMOTE_DCS)] {
         for loss in LOSSES {
             table.push_row(load_row(hosts, dcs, loss, seed));
         }
@@ -165,8 +169,11 @@
     for dc in 0..dcs {
         net.add_hosts(&format!("dc-{dc:02}"), 1);
     }
-    let found = net.run_until(FIND, |net| net.all_see_local(hosts));
-    assert!(found.is_some(), "{hosts} hosts don't find each other");
+    let converged = net.run_until(CONVERGENCE_TIMEOUT, |net| net.all_see_local(hosts));
+    assert!(
+        converged.is_some(),
+        "{hosts} hosts did not find each other within {CONVERGENCE_TIMEOUT}"
+    );
     net.loss = loss;
     net.run_for(Millis(10_000));
     let before: Vec<_> = net
@@ -174,14 +181,16 @@
         .iter()
         .map(|host| (host.sent, host.busy_time))
         .collect();
-    net.run_for(LOADED);
-    let seconds = LOADED.seconds();
-    let near = || net.hosts.iter().zip(&before).take(hosts);
-    let rates = near().map(|(host, (sent, _))| (host.sent.bytes - sent.bytes) as f64 / seconds);
+    net.run_for(LOAD_RUN);
+    let seconds = LOAD_RUN.seconds();
+    let local_hosts = || net.hosts.iter().zip(&before).take(hosts);
+    let rates =
+        local_hosts().map(|(host, (sent, _))| (host.sent.bytes - sent.bytes) as f64 / seconds);
     let rates: Vec<_> = rates.collect();
-    let datagrams = near().map(|(host, (sent, _))| host.sent.datagrams - sent.datagrams);
-    let cores = near()
-        .map(|(host, (_, worked))| host.busy_time.saturating_sub(*worked).as_secs_f64() / seconds);
+    let datagrams = local_hosts().map(|(host, (sent, _))| host.sent.datagrams - sent.datagrams);
+    let cores = local_hosts().map(|(host, (_, busy_before))| {
+        host.busy_time.saturating_sub(*busy_before).as_secs_f64() / seconds
+    });
     let cores: Vec<_> = cores.map(|core| core * 100.0).collect();
     [
         hosts.to_string(),
@@ -198,18 +207,16 @@
     ]
 }
 
-fn mean(figures: &[f64]) -> f64 {
-    figures.iter().sum::<f64>() / figures.len() as f64
+fn mean(values: &[f64]) -> f64 {
+    values.iter().sum::<f64>() / values.len() as f64
 }
 
-fn max(figures: &[f64]) -> f64 {
-    figures.iter().copied().fold(0.0, f64::max)
+fn max(values: &[f64]) -> f64 {
+    values.iter().copied().fold(0.0, f64::max)
 }
 
-// ---
-
-/// Measures hosts over real sockets of this machine; the processor time is that of all of them, with
-/// the operating system's share.
+/// Measures hosts over real sockets of this machine. The CPU time is that of the whole process,
+/// including time in the kernel, divided by the number of hosts.
 fn sockets() -> Table {
     let columns = [
         "hosts",
@@ -223,18 +230,18 @@
     for hosts in SOCKET_SIZES {
         let gossips = start_all(hosts);
         let before: Vec<_> = gossips.iter().map(Gossip::counts).collect();
-        let worked = processor_time();
+        let cpu_before = cpu_time();
         thread::sleep(SOCKET_RUN);
-        let worked = processor_time().saturating_sub(worked).as_secs_f64();
+        let cpu_seconds = cpu_time().saturating_sub(cpu_before).as_secs_f64();
         let seconds = SOCKET_RUN.as_secs_f64() * hosts as f64;
-        let grown = gossips.iter().zip(&before).map(|(gossip, before)| {
+        let deltas = gossips.iter().zip(&before).map(|(gossip, before)| {
             let counts = gossip.counts();
             (
                 counts.sent - before.sent,
                 counts.sent_bytes - before.sent_bytes,
             )
         });
-        let (sent, bytes) = grown.fold((0, 0), |sum, grown| (sum.0 + grown.0, sum.1 + grown.1));
+        let (sent, bytes) = deltas.fold((0, 0), |sum, delta| (sum.0 + delta.0, sum.1 + delta.1));
         let removed: u64 = gossips
             .iter()
             .map(|gossip| gossip.counts().membership.downs)
@@ -244,7 +251,7 @@
             SOCKET_RUN.as_secs().to_string(),
             format!("{:.0}", bytes as f64 / seconds),
             format!("{:.1}", sent as f64 / seconds),
-            format!("{:.3}", worked * 100.0 / seconds),
+            format!("{:.3}", cpu_seconds * 100.0 / seconds),
             removed.to_string(),
         ]);
     }
@@ -258,11 +265,11 @@
     for gossip in &gossips {
         gossip.set_host_list(listed.clone());
     }
-    let begun = Instant::now();
+    let waiting_since = Instant::now();
     while gossips.iter().any(|gossip| gossip.members().len() < hosts) {
         assert!(
-            begun.elapsed() < Duration::from_mins(1),
-            "hosts don't find each other"
+            waiting_since.elapsed() < Duration::from_mins(1),
+            "{hosts} hosts did not find each other within a minute"
         );
         thread::sleep(Duration::from_millis(20));
     }
@@ -270,7 +277,7 @@
 }
 
 fn start(number: usize) -> (Gossip, HostEntry) {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port of the loopback is free");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("the loopback address has a free port");
     let address = socket.local_addr().expect("a bound socket has an address");
     let name = format!("gori-{number}");
     let own = MemberRecord::default()
@@ -281,7 +288,7 @@
     let rules = MembershipRules::default();
     let gossip = Gossip::start(socket, own, rules, Clock::start(), sender);
     (
-        gossip.expect("a thread starts"),
-        listing(&name, "gori", address),
+        gossip.expect("the gossip thread starts"),
+        host_entry(&name, "gori", address),
     )
 }
--- a/crates/godwitspool-measure/src/control/mod.rs
+++ b/crates/godwitspool-measure/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! Membership, the log and what is in force: times, bytes and processor time.
+//! Measurements of membership and of the log: times, bytes and CPU time.
 
 mod in_force;
 mod log;
+mod log_host;
 mod membership;
-mod rig;
 
 pub(crate) use in_force::run as in_force;
 pub(crate) use log::run as log;
