--- a/crates/godwitspool-measure/src/policies/fleet.rs
+++ b/crates/godwitspool-measure/src/policies/fleet.rs
@@ -1,117 +1,122 @@
-//! A simulated fleet of one service: arrivals, a queue, targets that start late and are reclaimed.
+//! A simulated fleet of one service, with arrivals, a queue, and targets that take time to start
+//! and can be reclaimed.
 
 use std::collections::VecDeque;
 
 use godwitspool_types::Millis;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Time between two looks at the fleet.
-pub(super) const STEP: Millis = Millis(200);
-/// Requests that a target runs at once.
-pub(super) const SLOTS: u32 = 8;
-/// Time from order to first request.
-pub(super) const START: Millis = Millis(45_000);
-/// Price of a target that stays, and of one that can be reclaimed, an hour.
-pub(super) const PRICES: [u64; 2] = [1_000, 350];
+/// Resolution of the simulation.
+pub(super) const TICK: Millis = Millis(200);
+/// Maximum number of requests that a target runs at the same time.
+pub(super) const TARGET_SLOTS: u32 = 8;
+/// Time from the order of a target until it can take requests.
+pub(super) const START_DELAY: Millis = Millis(45_000);
+/// Price of a non-reclaimable and of a reclaimable target, in price units.
+pub(super) const PRICES_PER_HOUR: [u64; 2] = [1_000, 350];
 
-const INTERACTIVE_MS: u64 = 2_000;
+const INTERACTIVE_REQUEST_MS: u64 = 2_000;
 const SAMPLE_MS: u64 = 20_000;
 const STEP_SAMPLES: u32 = 400;
-const STEP_PERIOD: Millis = Millis(600_000);
-const RECLAIM_PERIOD: Millis = Millis(2_400_000);
+/// Shortest time between the starts of two training steps.
+const STEP_INTERVAL: Millis = Millis(600_000);
+/// All reclaimable targets are reclaimed at this interval.
+const RECLAIM_INTERVAL: Millis = Millis(2_400_000);
 const HOUR: Millis = Millis(3_600_000);
 
-/// A target of the fleet.
 #[derive(Clone, Debug)]
 pub(super) struct Target {
     pub(super) number: u32,
     pub(super) reclaimable: bool,
+    /// When the target begins to take requests.
     pub(super) serves_at: Millis,
-    /// Ends of the requests in progress.
+    /// Requests in progress.
     running: Vec<Running>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Running {
-    ends: Millis,
+    ends_at: Millis,
     sample: bool,
 }
 
-/// What the fleet did.
+/// Totals of a simulation run.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Record {
-    /// Price units paid.
+pub(super) struct Totals {
+    /// Cost in price units.
     pub(super) cost: f64,
-    /// Waits of interactive requests, in milliseconds.
-    pub(super) waits: Vec<u64>,
-    /// Times in which steps' samples became whole, in milliseconds.
-    pub(super) steps: Vec<u64>,
-    /// Targets started and stopped.
-    pub(super) moves: u32,
+    /// Time that each interactive request waited for a slot.
+    pub(super) wait_times_ms: Vec<u64>,
+    /// Time from the start of each training step until all of its samples were complete.
+    pub(super) step_times_ms: Vec<u64>,
+    /// Number of targets started and stopped.
+    pub(super) target_changes: u32,
 }
 
-/// The fleet and its work.
+/// The simulated fleet with its queues of interactive requests and samples.
 pub(super) struct Fleet {
-    next: u32,
+    last_number: u32,
     pub(super) now: Millis,
-    pub(super) record: Record,
+    pub(super) totals: Totals,
     rng: StdRng,
-    samples: u32,
-    step_began: Option<Millis>,
+    queued_samples: u32,
+    /// Start of the training step in progress.
+    step_started: Option<Millis>,
     pub(super) targets: Vec<Target>,
-    waiting: VecDeque<Millis>,
+    /// Arrival times of the interactive requests that wait.
+    queue: VecDeque<Millis>,
 }
 
 impl Fleet {
     pub(super) fn new(seed: u64) -> Self {
         Self {
-            next: 0,
+            last_number: 0,
             now: Millis(0),
-            record: Record::default(),
+            totals: Totals::default(),
             rng: StdRng::seed_from_u64(seed),
-            samples: 0,
-            step_began: None,
+            queued_samples: 0,
+            step_started: None,
             targets: Vec::new(),
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
         }
     }
 
-    pub(super) fn start(&mut self, targets: u32, reclaimable: bool, wait: Millis) {
+    pub(super) fn start(&mut self, targets: u32, reclaimable: bool, start_delay: Millis) {
         for _ in 0..targets {
-            self.next += 1;
-            self.record.moves += 1;
+            self.last_number += 1;
+            self.totals.target_changes += 1;
             self.targets.push(Target {
-                number: self.next,
+                number: self.last_number,
                 reclaimable,
                 running: Vec::new(),
-                serves_at: self.now + wait,
+                serves_at: self.now + start_delay,
             });
         }
     }
 
-    /// Stops a target; its samples are resumed elsewhere.
+    /// Stops a target. Its samples return to the queue. Its interactive requests are not retried.
     pub(super) fn stop(&mut self, number: u32) {
-        let at = self
+        let index = self
             .targets
             .iter()
             .position(|target| target.number == number);
-        if let Some(at) = at {
-            let target = self.targets.remove(at);
-            self.record.moves += 1;
+        if let Some(index) = index {
+            let target = self.targets.remove(index);
+            self.totals.target_changes += 1;
             let samples = target.running.iter().filter(|running| running.sample);
-            self.samples += samples.count() as u32;
+            self.queued_samples += samples.count() as u32;
         }
     }
 
-    /// Interactive requests that run or wait.
+    /// Returns the number of interactive requests that run or wait.
     pub(super) fn interactive(&self) -> u32 {
         let running = self.running(false);
-        running + self.waiting.len() as u32
+        running + self.queue.len() as u32
     }
 
-    /// Samples that run or wait.
+    /// Returns the number of samples that run or wait.
     pub(super) fn training(&self) -> u32 {
-        self.running(true) + self.samples
+        self.running(true) + self.queued_samples
     }
 
     fn running(&self, sample: bool) -> u32 {
@@ -119,27 +124,28 @@
         running.filter(|running| running.sample == sample).count() as u32
     }
 
-    /// Lets a step of time pass.
-    pub(super) fn pass(&mut self) {
-        self.now = self.now + STEP;
+    /// Advances the simulation by one [`TICK`].
+    pub(super) fn tick(&mut self) {
+        self.now = self.now + TICK;
         let now = self.now;
         for target in &mut self.targets {
-            target.running.retain(|running| running.ends > now);
-            let price = PRICES[usize::from(target.reclaimable)];
-            self.record.cost += price as f64 * STEP.0 as f64 / HOUR.0 as f64;
+            target.running.retain(|running| running.ends_at > now);
+            let price = PRICES_PER_HOUR[usize::from(target.reclaimable)];
+            self.totals.cost += price as f64 * TICK.0 as f64 / HOUR.0 as f64;
         }
         self.arrive();
         self.reclaim();
         self.assign();
         if self.training() == 0
-            && let Some(began) = self.step_began.take()
+            && let Some(started_at) = self.step_started.take()
         {
-            self.record.steps.push((now - began).0);
+            self.totals.step_times_ms.push((now - started_at).0);
         }
     }
 
     fn arrive(&mut self) {
-        // Two hours stand for a day: a quiet night, a busy noon, and a rush every quarter of it.
+        // The arrival rate follows a daily cycle that is shortened to two hours, with a burst of
+        // two minutes every half hour.
         let day = self.now.seconds() / 7_200.0 * std::f64::consts::TAU;
         let rush = if self.now.0 % 1_800_000 < 120_000 {
             12.0
@@ -147,72 +153,73 @@
             0.0
         };
         let per_s = 14.0 - 12.0 * day.cos() + rush;
-        let mean = per_s * STEP.seconds();
-        let mut budget = (-mean).exp();
+        let mean_arrivals = per_s * TICK.seconds();
+        let mut threshold = (-mean_arrivals).exp();
         let mut arrived = 0;
         let mut product: f64 = self.rng.random();
-        while product > budget && arrived < 1_000 {
+        while product > threshold && arrived < 1_000 {
             arrived += 1;
             product *= self.rng.random::<f64>();
-            budget = budget.max(f64::MIN_POSITIVE);
+            threshold = threshold.max(f64::MIN_POSITIVE);
         }
-        self.waiting.extend((0..arrived).map(|_| self.now));
-        if self.now.0.is_multiple_of(STEP_PERIOD.0) && self.step_began.is_none() {
-            self.samples += STEP_SAMPLES;
-            self.step_began = Some(self.now);
+        self.queue.extend((0..arrived).map(|_| self.now));
+        if self.now.0.is_multiple_of(STEP_INTERVAL.0) && self.step_started.is_none() {
+            self.queued_samples += STEP_SAMPLES;
+            self.step_started = Some(self.now);
         }
     }
 
     fn reclaim(&mut self) {
-        if !self.now.0.is_multiple_of(RECLAIM_PERIOD.0) {
+        if !self.now.0.is_multiple_of(RECLAIM_INTERVAL.0) {
             return;
         }
-        let lost = self.targets.iter().filter(|target| target.reclaimable);
-        for number in lost.map(|target| target.number).collect::<Vec<_>>() {
+        let reclaimed = self.targets.iter().filter(|target| target.reclaimable);
+        for number in reclaimed.map(|target| target.number).collect::<Vec<_>>() {
             self.stop(number);
         }
     }
 
-    /// Gives free slots of targets that stay to interactive requests; training takes the reclaimable
-    /// targets, and of the others what interactive requests are not about to need.
+    /// Fills free slots. Interactive requests run only on non-reclaimable targets. Samples run on
+    /// reclaimable targets, and on the others in the slots beyond the expected interactive demand.
     fn assign(&mut self) {
         let now = self.now;
         let serving = self.targets.iter().filter(|target| target.serves_at <= now);
-        let kept = serving.filter(|target| !target.reclaimable).count() as u32 * SLOTS;
-        let needed = self.interactive() * 5 / 4 + SLOTS;
-        let mut spare = kept.saturating_sub(needed + self.running_kept_samples());
+        let permanent_slots =
+            serving.filter(|target| !target.reclaimable).count() as u32 * TARGET_SLOTS;
+        let needed = self.interactive() * 5 / 4 + TARGET_SLOTS;
+        let mut spare = permanent_slots.saturating_sub(needed + self.permanent_slot_samples());
         for target in self
             .targets
             .iter_mut()
             .filter(|target| target.serves_at <= now)
         {
-            while (target.running.len() as u32) < SLOTS && !target.reclaimable {
-                let Some(came) = self.waiting.pop_front() else {
+            while (target.running.len() as u32) < TARGET_SLOTS && !target.reclaimable {
+                let Some(arrived_at) = self.queue.pop_front() else {
                     break;
                 };
-                self.record.waits.push((now - came).0);
+                self.totals.wait_times_ms.push((now - arrived_at).0);
                 target.running.push(Running {
-                    ends: now + Millis(INTERACTIVE_MS),
+                    ends_at: now + Millis(INTERACTIVE_REQUEST_MS),
                     sample: false,
                 });
             }
-            while (target.running.len() as u32) < SLOTS
-                && self.samples > 0
+            while (target.running.len() as u32) < TARGET_SLOTS
+                && self.queued_samples > 0
                 && (target.reclaimable || spare > 0)
             {
-                self.samples -= 1;
+                self.queued_samples -= 1;
                 spare = spare.saturating_sub(u32::from(!target.reclaimable));
                 target.running.push(Running {
-                    ends: now + Millis(SAMPLE_MS),
+                    ends_at: now + Millis(SAMPLE_MS),
                     sample: true,
                 });
             }
         }
     }
 
-    fn running_kept_samples(&self) -> u32 {
-        let kept = self.targets.iter().filter(|target| !target.reclaimable);
-        let running = kept.flat_map(|target| &target.running);
+    fn permanent_slot_samples(&self) -> u32 {
+        let permanent = self.targets.iter().filter(|target| !target.reclaimable);
+        let running = permanent.flat_map(|target| &target.running);
         running.filter(|running| running.sample).count() as u32
     }
 }
--- a/crates/godwitspool-measure/src/policies/mod.rs
+++ b/crates/godwitspool-measure/src/policies/mod.rs
@@ -1,4 +1,4 @@
-//! Policies compared over the same simulated work.
+//! Scaling policies, compared on the same simulated workload.
 
 mod fleet;
 mod scaling;
--- a/crates/godwitspool-measure/src/policies/scaling.rs
+++ b/crates/godwitspool-measure/src/policies/scaling.rs
@@ -1,4 +1,4 @@
-//! The scaling policy against a fixed fleet and a simple threshold.
+//! The scaling policy, compared with a fixed fleet and a simple threshold.
 
 use godwitspool_types::{Millis, Offset, RequestId, Term};
 use godwitspool_version::{
@@ -7,17 +7,20 @@
     TargetAction, TargetPhase,
 };
 
-use super::fleet::{Fleet, PRICES, Record, SLOTS, START, STEP};
+use super::fleet::{Fleet, PRICES_PER_HOUR, START_DELAY, TARGET_SLOTS, TICK, Totals};
 use crate::{Options, Table};
 
 const CLASSES: [&str; 2] = ["kept", "reclaimable"];
-const FIXED: u32 = 16;
-const FLOOR: u32 = 3;
-const SPAN: Millis = Millis(4 * 3_600_000);
-const DECIDE: Millis = Millis(1_000);
+/// Size of the fixed fleet and upper limit of the others.
+const MAX_TARGETS: u32 = 16;
+/// Initial size and lower limit of the fleets that scale.
+const MIN_TARGETS: u32 = 3;
+const RUN_TIME: Millis = Millis(4 * 3_600_000);
+const DECISION_INTERVAL: Millis = Millis(1_000);
+/// Number of seeds that each policy runs with.
 const SEEDS: u64 = 3;
 
-/// Runs each policy over the same work and tells cost and waits.
+/// Simulates each policy on the same workload and reports costs and wait times.
 pub(crate) fn run(options: &Options) -> Vec<Table> {
     let columns = [
         "policy",
@@ -34,7 +37,12 @@
     for seed in options.seed..options.seed + SEEDS {
         for (name, policy) in [
             ("fixed", Policy::Fixed),
-            ("threshold", Policy::Threshold { moved: Millis(0) }),
+            (
+                "threshold",
+                Policy::Threshold {
+                    last_change: Millis(0),
+                },
+            ),
             ("break-even", Policy::break_even()),
         ] {
             table.push_row(row(name, seed, simulate(policy, seed)));
@@ -43,37 +51,37 @@
     vec![table]
 }
 
-fn row(name: &str, seed: u64, mut record: Record) -> [String; 9] {
-    record.waits.sort_unstable();
-    record.steps.sort_unstable();
-    let (waits, steps) = (&record.waits, &record.steps);
+fn row(name: &str, seed: u64, mut totals: Totals) -> [String; 9] {
+    totals.wait_times_ms.sort_unstable();
+    totals.step_times_ms.sort_unstable();
+    let (wait_times_ms, step_times_ms) = (&totals.wait_times_ms, &totals.step_times_ms);
     [
         name.to_owned(),
         seed.to_string(),
-        format!("{:.0}", record.cost),
-        quantile(waits, 0.99).to_string(),
-        quantile(waits, 1.0).to_string(),
-        format!("{:.0}", quantile(steps, 0.5) as f64 / 1_000.0),
-        format!("{:.0}", quantile(steps, 1.0) as f64 / 1_000.0),
-        record.steps.len().to_string(),
-        record.moves.to_string(),
+        format!("{:.0}", totals.cost),
+        quantile(wait_times_ms, 0.99).to_string(),
+        quantile(wait_times_ms, 1.0).to_string(),
+        format!("{:.0}", quantile(step_times_ms, 0.5) as f64 / 1_000.0),
+        format!("{:.0}", quantile(step_times_ms, 1.0) as f64 / 1_000.0),
+        totals.step_times_ms.len().to_string(),
+        totals.target_changes.to_string(),
     ]
 }
 
 fn quantile(sorted: &[u64], q: f64) -> u64 {
-    let at = (sorted.len() as f64 * q) as usize;
+    let rank = (sorted.len() as f64 * q) as usize;
     let last = sorted.len().saturating_sub(1);
-    sorted.get(at.min(last)).copied().unwrap_or(0)
+    sorted.get(rank.min(last)).copied().unwrap_or(0)
 }
 
 enum Policy {
     Fixed,
-    Threshold { moved: Millis },
+    Threshold { last_change: Millis },
     BreakEven(Box<BreakEven>),
 }
 
 struct BreakEven {
-    book: OrderTable,
+    order_table: OrderTable,
     configuration: Configuration,
     offset: u64,
     scaling: Scaling,
@@ -82,7 +90,7 @@
 impl Policy {
     fn break_even() -> Self {
         Self::BreakEven(Box::new(BreakEven {
-            book: OrderTable::default(),
+            order_table: OrderTable::default(),
             configuration: configuration(),
             offset: 0,
             scaling: Scaling::new(ScalingRules::default()),
@@ -92,45 +100,46 @@
     fn decide(&mut self, fleet: &mut Fleet) {
         match self {
             Self::Fixed => {}
-            Self::Threshold { moved } => threshold(fleet, moved),
+            Self::Threshold { last_change } => apply_threshold(fleet, last_change),
             Self::BreakEven(policy) => policy.decide(fleet),
         }
     }
 }
 
-fn simulate(mut policy: Policy, seed: u64) -> Record {
+fn simulate(mut policy: Policy, seed: u64) -> Totals {
     let mut fleet = Fleet::new(seed);
-    let first = match policy {
-        Policy::Fixed => FIXED,
-        Policy::Threshold { .. } | Policy::BreakEven(_) => FLOOR,
+    let initial_targets = match policy {
+        Policy::Fixed => MAX_TARGETS,
+        Policy::Threshold { .. } | Policy::BreakEven(_) => MIN_TARGETS,
     };
-    fleet.start(first, false, Millis(0));
-    while fleet.now < SPAN {
-        fleet.pass();
-        if fleet.now.0.is_multiple_of(DECIDE.0.max(STEP.0)) {
+    fleet.start(initial_targets, false, Millis(0));
+    while fleet.now < RUN_TIME {
+        fleet.tick();
+        if fleet.now.0.is_multiple_of(DECISION_INTERVAL.0.max(TICK.0)) {
             policy.decide(&mut fleet);
         }
     }
-    fleet.record
+    fleet.totals
 }
 
-/// Starts a target above 80% of the slots in use and stops one below 40%, every half minute.
-fn threshold(fleet: &mut Fleet, moved: &mut Millis) {
-    const PAUSE: Millis = Millis(30_000);
-    if fleet.now - *moved < PAUSE {
+/// Starts a target if more than 80% of the slots are in use and stops one below 40%, at most once
+/// per half minute.
+fn apply_threshold(fleet: &mut Fleet, last_change: &mut Millis) {
+    const CHANGE_INTERVAL: Millis = Millis(30_000);
+    if fleet.now - *last_change < CHANGE_INTERVAL {
         return;
     }
-    let slots = fleet.targets.len() as u32 * SLOTS;
+    let slots = fleet.targets.len() as u32 * TARGET_SLOTS;
     let used = fleet.interactive() + fleet.training();
-    if used * 100 > slots * 80 && fleet.targets.len() < FIXED as usize {
-        fleet.start(1, false, START);
-        *moved = fleet.now;
-    } else if used * 100 < slots * 40 && fleet.targets.len() > FLOOR as usize {
+    if used * 100 > slots * 80 && fleet.targets.len() < MAX_TARGETS as usize {
+        fleet.start(1, false, START_DELAY);
+        *last_change = fleet.now;
+    } else if used * 100 < slots * 40 && fleet.targets.len() > MIN_TARGETS as usize {
         let last = fleet.targets.last().map(|target| target.number);
         if let Some(number) = last {
             fleet.stop(number);
         }
-        *moved = fleet.now;
+        *last_change = fleet.now;
     }
 }
 
@@ -152,19 +161,19 @@
         let view = ScalingView {
             configuration: &self.configuration,
             loads: &loads,
-            orders: &self.book,
+            orders: &self.order_table,
             targets: &targets,
         };
         for order in self.scaling.decide(view, fleet.now) {
-            self.carry_out(fleet, order);
+            self.execute(fleet, order);
         }
     }
 
-    fn carry_out(&mut self, fleet: &mut Fleet, order: ScalingOrder) {
+    fn execute(&mut self, fleet: &mut Fleet, order: ScalingOrder) {
         let before = fleet.targets.len();
         let names = match &order.action {
             TargetAction::Start(targets) => {
-                fleet.start(*targets, order.class.as_str() == CLASSES[1], START);
+                fleet.start(*targets, order.class.as_str() == CLASSES[1], START_DELAY);
                 let started = fleet.targets[before..].iter();
                 started
                     .map(|target| target.number.to_string().into())
@@ -186,9 +195,11 @@
             reason: order.reason,
             term: Term(1),
         };
-        self.book.open(Offset(self.offset), &intent, Some(Term(1)));
+        self.order_table
+            .open(Offset(self.offset), &intent, Some(Term(1)));
         let outcome = OrderOutcome::Done(names);
-        self.book.close(Offset(self.offset + 1), id, &outcome);
+        self.order_table
+            .close(Offset(self.offset + 1), id, &outcome);
     }
 }
 
@@ -196,22 +207,22 @@
     let mut configuration = Configuration::default();
     for (index, class) in CLASSES.into_iter().enumerate() {
         let rules = ClassRules {
-            cost_per_hour: PRICES[index],
+            cost_per_hour: PRICES_PER_HOUR[index],
             reclaimable: index == 1,
             service: "s".into(),
-            start_ms: START.0,
+            start_ms: START_DELAY.0,
             ..ClassRules::default()
         };
         configuration.classes.insert(class.into(), rules);
     }
     let service = ServiceRules {
-        slots: SLOTS,
+        slots: TARGET_SLOTS,
         ..ServiceRules::default()
     };
     configuration.services.insert("s".into(), service);
     let dc = DcRules {
-        ceiling: CLASSES.map(|class| (class.into(), FIXED)).into(),
-        floor: [(CLASSES[0].into(), FLOOR)].into(),
+        ceiling: CLASSES.map(|class| (class.into(), MAX_TARGETS)).into(),
+        floor: [(CLASSES[0].into(), MIN_TARGETS)].into(),
         orders_per_minute: 20,
     };
     configuration.dcs.insert("d".into(), dc);
