--- a/crates/godwitspool-measure/src/serving/decisions.rs
+++ b/crates/godwitspool-measure/src/serving/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of a choice and of a load report at several sizes of the fleet.
+//! CPU time of choosing a target and of a load report, by fleet size.
 
 use std::hint::black_box;
 
@@ -12,7 +12,8 @@
 const CALLS: u32 = 20_000;
 const SERVICE: &str = "party/chat";
 
-/// One pool of targets, the dearest case: nothing narrows the choice.
+/// Measures the most expensive case: all targets serve one service in one data centre, so that
+/// nothing narrows the choice.
 pub(crate) fn run(options: &Options) -> Vec<Table> {
     let columns = [
         "targets",
@@ -25,8 +26,8 @@
     for size in SIZES {
         for (fill, busy) in [("half", 8), ("full", 16)] {
             let mut rng = StdRng::seed_from_u64(options.seed);
-            let (mut targets, names) = fleet(size, busy);
-            let choice = time_us(CALLS, || {
+            let (mut targets, names) = fill_targets(size, busy);
+            let choice_us = time_us(CALLS, || {
                 let need = Need {
                     fingerprint: rng.random(),
                     service: ServiceName::from(SERVICE),
@@ -39,26 +40,26 @@
                 ..LoadReport::default()
             };
             let mut rng = StdRng::seed_from_u64(options.seed);
-            let told = time_us(CALLS, || {
+            let report_us = time_us(CALLS, || {
                 targets.report(&names[rng.random_range(0..names.len())], &report);
             });
             let ids: Vec<_> = names.iter().filter_map(|name| targets.find(name)).collect();
-            let scan = time_us(CALLS / 10, || {
+            let scan_us = time_us(CALLS / 10, || {
                 black_box(ids.iter().min_by_key(|id| targets.load(**id)).copied())
             });
             table.push_row([
                 size.to_string(),
                 fill.to_owned(),
-                format!("{choice:.3}"),
-                format!("{told:.3}"),
-                format!("{scan:.3}"),
+                format!("{choice_us:.3}"),
+                format!("{report_us:.3}"),
+                format!("{scan_us:.3}"),
             ]);
         }
     }
     vec![table]
 }
 
-fn fleet(size: usize, busy: u32) -> (Targets, Vec<TargetName>) {
+fn fill_targets(size: usize, busy: u32) -> (Targets, Vec<TargetName>) {
     let mut targets = Targets::new(Dc::from("north"));
     let names: Vec<TargetName> = (0..size)
         .map(|index| TargetName::from(format!("target-{index}")))
--- a/crates/godwitspool-measure/src/serving/fleet.rs
+++ b/crates/godwitspool-measure/src/serving/fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet: engines that batch continuously and hosts that choose among them.
+//! A simulated fleet: engines with continuous batching, and hosts that choose among them.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,22 +9,22 @@
 use godwitspool_types::{Dc, Millis, RequestId, TargetName, Workspace};
 use rand::{Rng, rngs::StdRng};
 
-/// Time of a step of an engine with nothing to do, in milliseconds.
-const STEP_MS: f64 = 8.0;
-/// Time that each running request adds to a step, in milliseconds.
-const REQUEST_MS: f64 = 0.2;
+/// Duration of an engine step without requests.
+const ENGINE_STEP_MS: f64 = 8.0;
+/// Time that each running request adds to an engine step.
+const MS_PER_REQUEST: f64 = 0.2;
 const SERVICE: &str = "party/chat";
 
 /// How hosts choose among engines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Policy {
-    /// This project's.
+    /// Admission, choice of target and training shares of this project.
     Godwitspool,
-    /// The engine with the least reported load.
+    /// The engine with the lowest reported load.
     LeastReported,
-    /// Any engine.
+    /// A random engine.
     Random,
-    /// Each in turn.
+    /// Each engine in turn, separately on each host.
     RoundRobin,
 }
 
@@ -46,21 +46,25 @@
     }
 }
 
-/// Work on an engine.
+/// An interactive request or a training stream.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
+    /// Arrival time in milliseconds.
     pub(super) arrived: u64,
     pub(super) host: usize,
+    /// Time of the assignment to an engine, in milliseconds.
     pub(super) started: u64,
+    /// Remaining tokens.
     pub(super) tokens: f64,
-    /// Workspace; none for training.
+    /// Index of the workspace; `None` for training.
     pub(super) workspace: Option<usize>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Engine {
     pub(super) running: Vec<Job>,
-    reports: VecDeque<u32>,
+    /// Loads that the hosts have not received yet, oldest first.
+    delayed_loads: VecDeque<u32>,
     pub(super) waiting: VecDeque<Job>,
 }
 
@@ -77,95 +81,97 @@
 
 struct Host {
     admission: Admission,
-    next: usize,
+    next_engine: usize,
     targets: Targets,
-    tickets: BTreeMap<RequestId, Job>,
+    /// Requests that wait for admission.
+    pending: BTreeMap<RequestId, Job>,
 }
 
-/// Size and load of a fleet.
+/// Size of a fleet and delay of its load reports.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Shape {
+pub(super) struct FleetParams {
     pub(super) engines: usize,
     pub(super) hosts: usize,
-    /// Age of load reports, in milliseconds.
+    /// Delay between a load and its report to the hosts.
     pub(super) lag_ms: u64,
     pub(super) slots: u32,
 }
 
-/// A simulated fleet, in steps of a millisecond.
+/// A simulated fleet, which advances in steps of one millisecond.
 pub(super) struct Fleet {
     pub(super) engines: Vec<Engine>,
     hosts: Vec<Host>,
-    /// Tokens left of training streams that were cut.
-    cut: Vec<f64>,
+    /// Remaining tokens of training streams that were cut and are to be resumed.
+    cut_tokens: Vec<f64>,
     ids: Vec<TargetId>,
     pub(super) now: u64,
     policy: Policy,
-    reported: Vec<u32>,
-    serial: u128,
-    shape: Shape,
+    /// Newest load of each engine that the hosts have received.
+    reported_loads: Vec<u32>,
+    last_id: u128,
+    params: FleetParams,
     shares: Vec<TrainingShare>,
 }
 
-/// A job that ended: done, or refused and not run.
-pub(super) struct Ended {
+/// A job that ended, either completed (`done`) or refused without running.
+pub(super) struct EndedJob {
     pub(super) done: bool,
     pub(super) job: Job,
 }
 
 impl Fleet {
-    pub(super) fn new(shape: Shape, policy: Policy) -> Self {
+    pub(super) fn new(params: FleetParams, policy: Policy) -> Self {
         let mut ids = Vec::new();
-        let hosts = (0..shape.hosts).map(|_| {
+        let hosts = (0..params.hosts).map(|_| {
             let mut targets = Targets::new(Dc::from("north"));
-            targets.set_hosts(shape.hosts as u32);
-            ids = (0..shape.engines)
-                .map(|index| targets.put(facts(index, shape.slots)))
+            targets.set_hosts(params.hosts as u32);
+            ids = (0..params.engines)
+                .map(|index| targets.put(target_facts(index, params.slots)))
                 .collect();
             Host {
                 admission: Admission::default(),
-                next: 0,
+                next_engine: 0,
                 targets,
-                tickets: BTreeMap::new(),
+                pending: BTreeMap::new(),
             }
         });
         let hosts = hosts.collect();
         Self {
-            engines: vec![Engine::default(); shape.engines],
+            engines: vec![Engine::default(); params.engines],
             hosts,
-            cut: Vec::new(),
+            cut_tokens: Vec::new(),
             ids,
             now: 0,
             policy,
-            reported: vec![0; shape.engines],
-            serial: 0,
-            shape,
-            shares: vec![TrainingShare::new(shape.slots); shape.engines],
+            reported_loads: vec![0; params.engines],
+            last_id: 0,
+            params,
+            shares: vec![TrainingShare::new(params.slots); params.engines],
         }
     }
 
-    /// Brings an interactive request to a host.
-    pub(super) fn arrive(&mut self, job: Job, deadline_ms: u64, rng: &mut StdRng) -> Vec<Ended> {
+    /// Adds an interactive request on its host. Returns the jobs that ended through it.
+    pub(super) fn arrive(&mut self, job: Job, deadline_ms: u64, rng: &mut StdRng) -> Vec<EndedJob> {
         let host = job.host;
         if self.policy != Policy::Godwitspool {
-            let engine = self.pick(host, rng);
+            let engine = self.choose_engine(host, rng);
             self.engines[engine].waiting.push_back(job);
             return Vec::new();
         }
-        self.serial += 1;
-        let request = RequestId(self.serial);
+        self.last_id += 1;
+        let request = RequestId(self.last_id);
         let workspace = job.workspace.unwrap_or_default();
-        self.hosts[host].tickets.insert(request, job);
+        self.hosts[host].pending.insert(request, job);
         let ticket = Ticket {
             deadline: Millis(self.now + deadline_ms),
             request,
             share: 1,
             workspace: Workspace::from(format!("w{workspace}")),
         };
-        self.pump(host, AdmissionEvent::Arrive(ticket))
+        self.run_admission(host, AdmissionEvent::Arrive(ticket))
     }
 
-    /// Gives training as much as the policy lets it have; `wanted` is what it would like to run.
+    /// Starts training streams until `wanted` streams run or the policy allows no more.
     pub(super) fn train(&mut self, wanted: u32, tokens: f64, rng: &mut StdRng) {
         let running: u32 = self.engines.iter().map(Engine::training).sum();
         for _ in running..wanted {
@@ -179,9 +185,9 @@
                     };
                     index
                 }
-                _ => self.pick(rng.random_range(0..self.shape.hosts), rng),
+                _ => self.choose_engine(rng.random_range(0..self.params.hosts), rng),
             };
-            let host = engine % self.shape.hosts;
+            let host = engine % self.params.hosts;
             if self.policy == Policy::Godwitspool {
                 self.hosts[host].targets.begin(self.ids[engine]);
             }
@@ -189,14 +195,14 @@
                 arrived: self.now,
                 host,
                 started: self.now,
-                tokens: self.cut.pop().unwrap_or(tokens),
+                tokens: self.cut_tokens.pop().unwrap_or(tokens),
                 workspace: None,
             });
         }
     }
 
-    /// Lets a millisecond go by.
-    pub(super) fn step(&mut self) -> Vec<Ended> {
+    /// Advances by one millisecond and returns the jobs that ended.
+    pub(super) fn step(&mut self) -> Vec<EndedJob> {
         self.now += 1;
         let mut ended = Vec::new();
         for index in 0..self.engines.len() {
@@ -212,25 +218,23 @@
             self.cut_training();
             if self.now.is_multiple_of(20) {
                 for host in 0..self.hosts.len() {
-                    ended.extend(self.pump(host, AdmissionEvent::Tick));
+                    ended.extend(self.run_admission(host, AdmissionEvent::Tick));
                 }
             }
         }
         ended
     }
 
-    // -----------------------------------------------------------------------
-
     fn run_engine(&mut self, index: usize) -> Vec<Job> {
         let engine = &mut self.engines[index];
-        while engine.running.len() < self.shape.slots as usize
+        while engine.running.len() < self.params.slots as usize
             && let Some(job) = engine.waiting.pop_front()
         {
             engine.running.push(job);
         }
-        let pace = 1.0 / (STEP_MS + REQUEST_MS * engine.running.len() as f64);
+        let tokens_per_ms = 1.0 / (ENGINE_STEP_MS + MS_PER_REQUEST * engine.running.len() as f64);
         for job in &mut engine.running {
-            job.tokens -= pace;
+            job.tokens -= tokens_per_ms;
         }
         engine
             .running
@@ -238,7 +242,7 @@
             .collect()
     }
 
-    fn finish(&mut self, engine: usize, job: Job) -> Vec<Ended> {
+    fn finish(&mut self, engine: usize, job: Job) -> Vec<EndedJob> {
         let mut ended = Vec::new();
         if self.policy == Policy::Godwitspool {
             self.hosts[job.host].targets.end(self.ids[engine]);
@@ -247,26 +251,26 @@
                     held: Millis(self.now - job.started),
                     workspace: Workspace::from(format!("w{workspace}")),
                 };
-                ended = self.pump(job.host, done);
+                ended = self.run_admission(job.host, done);
             }
         }
-        ended.push(Ended { done: true, job });
+        ended.push(EndedJob { done: true, job });
         ended
     }
 
-    /// Publishes loads, each as old as the lag.
+    /// Reports the loads to the hosts with the delay of `lag_ms`.
     fn report(&mut self) {
-        let kept = (self.shape.lag_ms / 100) as usize;
+        let delay_in_reports = (self.params.lag_ms / 100) as usize;
         for (index, engine) in self.engines.iter_mut().enumerate() {
             let (busy, interactive) = (engine.busy(), engine.busy() - engine.training());
-            engine.reports.push_back(busy);
-            if engine.reports.len() <= kept {
+            engine.delayed_loads.push_back(busy);
+            if engine.delayed_loads.len() <= delay_in_reports {
                 continue;
             }
-            self.reported[index] = engine.reports.pop_front().unwrap_or(0);
+            self.reported_loads[index] = engine.delayed_loads.pop_front().unwrap_or(0);
             self.shares[index].observe(interactive, Millis(self.now));
             let report = LoadReport {
-                busy: self.reported[index],
+                busy: self.reported_loads[index],
                 ..LoadReport::default()
             };
             let name = TargetName::from(format!("t{index}"));
@@ -276,34 +280,36 @@
         }
     }
 
+    /// Cuts the training streams above the share of each engine, waiting ones first.
     fn cut_training(&mut self) {
         for index in 0..self.engines.len() {
             let cuts = self.shares[index].cuts(self.engines[index].training());
             for _ in 0..cuts {
                 let engine = &mut self.engines[index];
                 let training = |job: &Job| job.workspace.is_none();
-                let cut = if let Some(place) = engine.waiting.iter().position(training) {
-                    engine.waiting.remove(place)
-                } else if let Some(place) = engine.running.iter().rposition(training) {
-                    Some(engine.running.remove(place))
+                let cut = if let Some(job_index) = engine.waiting.iter().position(training) {
+                    engine.waiting.remove(job_index)
+                } else if let Some(job_index) = engine.running.iter().rposition(training) {
+                    Some(engine.running.remove(job_index))
                 } else {
                     None
                 };
                 if let Some(job) = cut {
                     self.hosts[job.host].targets.end(self.ids[index]);
-                    self.cut.push(job.tokens);
+                    self.cut_tokens.push(job.tokens);
                 }
             }
         }
     }
 
-    fn pump(&mut self, host: usize, event: AdmissionEvent) -> Vec<Ended> {
+    /// Passes an event to the admission of a host, followed by a tick after each started request.
+    fn run_admission(&mut self, host: usize, event: AdmissionEvent) -> Vec<EndedJob> {
         let mut ended = Vec::new();
         let mut next = Some(event);
         while let Some(event) = next.take() {
-            self.serial += 1;
+            self.last_id += 1;
             let need = Need {
-                fingerprint: godwitspool_request::stable_hash(&self.serial.to_le_bytes()),
+                fingerprint: godwitspool_request::stable_hash(&self.last_id.to_le_bytes()),
                 service: SERVICE.into(),
                 ..Need::default()
             };
@@ -314,14 +320,14 @@
             for action in state.admission.decide(event, free, now) {
                 match action {
                     AdmissionAction::Refuse(id, _) => {
-                        if let Some(job) = state.tickets.remove(&id) {
-                            ended.push(Ended { done: false, job });
+                        if let Some(job) = state.pending.remove(&id) {
+                            ended.push(EndedJob { done: false, job });
                         }
                     }
                     AdmissionAction::Start(id) => {
                         next = Some(AdmissionEvent::Tick);
                         let (Choice::Target(target), Some(mut job)) =
-                            (room, state.tickets.remove(&id))
+                            (room, state.pending.remove(&id))
                         else {
                             continue;
                         };
@@ -336,22 +342,22 @@
         ended
     }
 
-    fn pick(&mut self, host: usize, rng: &mut StdRng) -> usize {
+    fn choose_engine(&mut self, host: usize, rng: &mut StdRng) -> usize {
         let count = self.engines.len();
         match self.policy {
             Policy::LeastReported => (0..count)
-                .min_by_key(|&index| self.reported[index])
+                .min_by_key(|&index| self.reported_loads[index])
                 .unwrap_or(0),
             Policy::RoundRobin => {
-                self.hosts[host].next += 1;
-                (self.hosts[host].next + host) % count
+                self.hosts[host].next_engine += 1;
+                (self.hosts[host].next_engine + host) % count
             }
             Policy::Godwitspool | Policy::Random => rng.random_range(0..count),
         }
     }
 }
 
-fn facts(index: usize, slots: u32) -> TargetFacts {
+fn target_facts(index: usize, slots: u32) -> TargetFacts {
     TargetFacts {
         dc: Dc::from("north"),
         service: SERVICE.into(),
@@ -362,7 +368,7 @@
     }
 }
 
-/// Draws the number of arrivals in a millisecond.
+/// Draws the Poisson-distributed number of arrivals in one millisecond.
 pub(super) fn arrivals(rate_per_s: f64, rng: &mut StdRng) -> u32 {
     let limit = (-rate_per_s / 1_000.0).exp();
     let (mut count, mut product) = (0, rng.random::<f64>());
--- a/crates/godwitspool-measure/src/serving/latency.rs
+++ b/crates/godwitspool-measure/src/serving/latency.rs
@@ -1,4 +1,4 @@
-//! Latency that the entry adds, over real sockets.
+//! Latency that the entry adds to a request, over real sockets.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -21,13 +21,13 @@
 use crate::{Options, Table};
 
 const KEY: &str = "gsk-measure";
-const RATE: u64 = 500;
+const RATE_PER_S: u64 = 500;
 const CALLERS: u64 = 16;
 const ROUNDS: u64 = 4;
-const ROUND: Duration = Duration::from_secs(3);
-const READY: Duration = Duration::from_secs(10);
+const ROUND_TIME: Duration = Duration::from_secs(3);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls a plain service that answers at once, directly and through the entry, in turns.
+/// Calls a plain service that answers without delay, alternately directly and through the entry.
 pub(crate) fn run(_options: &Options) -> Vec<Table> {
     let columns = ["path", "calls", "failed", "p50_ms", "p99_ms", "p999_ms"];
     let mut table = Table::new("latency", &columns);
@@ -36,30 +36,32 @@
             for path in &paths {
                 table.push_row(path.cells());
             }
-            let added = |part: f64| paths[1].at(part) - paths[0].at(part);
+            let added_ms =
+                |quantile: f64| paths[1].quantile_ms(quantile) - paths[0].quantile_ms(quantile);
             table.push_row([
                 "added".to_owned(),
                 String::new(),
                 String::new(),
-                format!("{:.3}", added(0.5)),
-                format!("{:.3}", added(0.99)),
-                format!("{:.3}", added(0.999)),
+                format!("{:.3}", added_ms(0.5)),
+                format!("{:.3}", added_ms(0.99)),
+                format!("{:.3}", added_ms(0.999)),
             ]);
         }
-        Err(error) => log::error!("latency isn't measured: {error}"),
+        Err(error) => log::error!("latency measurement failed: {error}"),
     }
     vec![table]
 }
 
-struct Path {
+/// Calls on one path, directly to the service or through the entry.
+struct MeasuredPath {
     failed: usize,
     name: &'static str,
     times_ms: Vec<f64>,
 }
 
-impl Path {
-    fn at(&self, part: f64) -> f64 {
-        let index = (self.times_ms.len() as f64 * part) as usize;
+impl MeasuredPath {
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        let index = (self.times_ms.len() as f64 * quantile) as usize;
         self.times_ms.get(index).copied().unwrap_or(f64::NAN)
     }
 
@@ -68,32 +70,32 @@
             self.name.to_owned(),
             (self.times_ms.len() + self.failed).to_string(),
             self.failed.to_string(),
-            format!("{:.3}", self.at(0.5)),
-            format!("{:.3}", self.at(0.99)),
-            format!("{:.3}", self.at(0.999)),
+            format!("{:.3}", self.quantile_ms(0.5)),
+            format!("{:.3}", self.quantile_ms(0.99)),
+            format!("{:.3}", self.quantile_ms(0.999)),
         ]
     }
 }
 
-fn measure() -> std::io::Result<[Path; 2]> {
+fn measure() -> std::io::Result<[MeasuredPath; 2]> {
     let service = PlainService::start(PlainOptions {
         delay_ms: 0,
         ..PlainOptions::default()
     })?;
     let view = Arc::new(Mutex::new(view(&service)));
-    let steward = serve(&view)?;
+    let steward = serve_view(&view)?;
     let settings = EntrySettings::default()
         .with_host("n0", "north")
         .with_steward(steward.address());
     let entry = Entry::start(settings)?;
     let direct = format!("http://{}/ping", service.address());
     let through = format!("http://{}/services/orders/ping", entry.address());
-    let end = Instant::now() + READY;
-    while call(&agent(), &through).is_none() && Instant::now() < end {
+    let end = Instant::now() + READY_TIMEOUT;
+    while call(&new_agent(), &through).is_none() && Instant::now() < end {
         thread::sleep(Duration::from_millis(20));
     }
     let mut paths = [("direct", direct), ("through the entry", through)].map(|(name, url)| {
-        let path = Path {
+        let path = MeasuredPath {
             failed: 0,
             name,
             times_ms: Vec::new(),
@@ -102,7 +104,7 @@
     });
     for _ in 0..ROUNDS {
         for (path, url) in &mut paths {
-            let times = load(url);
+            let times = send_round(url);
             path.failed += times.iter().filter(|time| time.is_none()).count();
             path.times_ms.extend(times.into_iter().flatten());
         }
@@ -113,23 +115,24 @@
     }))
 }
 
-/// Calls at a fixed rate; a late start counts into the time.
-fn load(url: &str) -> Vec<Option<f64>> {
+/// Sends calls at a fixed rate and returns their times in milliseconds, `None` for a failed call. A
+/// time starts when the call is due, so a late start counts.
+fn send_round(url: &str) -> Vec<Option<f64>> {
     let begin = Instant::now();
-    let calls = RATE * ROUND.as_secs() / CALLERS;
-    let gap = Duration::from_secs(1) * CALLERS as u32 / RATE as u32;
+    let calls = RATE_PER_S * ROUND_TIME.as_secs() / CALLERS;
+    let interval = Duration::from_secs(1) * CALLERS as u32 / RATE_PER_S as u32;
     thread::scope(|scope| {
         let callers: Vec<_> = (0..CALLERS)
             .map(|caller| {
-                let offset = gap * caller as u32 / CALLERS as u32;
+                let offset = interval * caller as u32 / CALLERS as u32;
                 scope.spawn(move || {
-                    let agent = agent();
-                    let turn = |turn: u64| {
-                        let due = begin + offset + gap * turn as u32;
+                    let agent = new_agent();
+                    let send_call = |call_index: u64| {
+                        let due = begin + offset + interval * call_index as u32;
                         thread::sleep(due.saturating_duration_since(Instant::now()));
                         call(&agent, url).map(|()| due.elapsed().as_secs_f64() * 1_000.0)
                     };
-                    (0..calls).map(turn).collect::<Vec<_>>()
+                    (0..calls).map(send_call).collect::<Vec<_>>()
                 })
             })
             .collect();
@@ -138,7 +141,7 @@
     })
 }
 
-fn agent() -> ureq::Agent {
+fn new_agent() -> ureq::Agent {
     ureq::Agent::new_with_defaults()
 }
 
@@ -190,14 +193,14 @@
     }
 }
 
-fn serve(view: &Arc<Mutex<View>>) -> std::io::Result<Server> {
+fn serve_view(view: &Arc<Mutex<View>>) -> std::io::Result<Server> {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
     let view = Arc::clone(view);
     Server::start(listener, ServeBounds::default(), move |request| {
-        let StewardRequest::View(known) = request else {
+        let StewardRequest::View(known_revision) = request else {
             return StewardAnswer::Done;
         };
-        if known != 0 {
+        if known_revision != 0 {
             thread::sleep(Duration::from_millis(500));
         }
         let view = view.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/godwitspool-measure/src/serving/mod.rs
+++ b/crates/godwitspool-measure/src/serving/mod.rs
@@ -1,4 +1,4 @@
-//! Policies of the interactive path against simple baselines.
+//! Policies for interactive requests, compared with simple baselines.
 
 mod admission;
 mod decisions;
--- a/crates/godwitspool-measure/src/serving/poison.rs
+++ b/crates/godwitspool-measure/src/serving/poison.rs
@@ -1,4 +1,6 @@
-//! Targets that a poison crashes, re-sent by its caller to any host.
+//! Number of targets that a poison request crashes when its caller keeps sending it to any host.
+//!
+//! Requests are represented by their fingerprints.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,9 +14,10 @@
 
 const TARGETS: u64 = 14;
 const RUNS: u64 = 500;
-const TURNS: u64 = 60;
-/// Requests beside the poison in a turn.
-const INNOCENTS: usize = 30;
+const ROUNDS: u64 = 60;
+/// Number of harmless requests per round, besides the poison request.
+const INNOCENT_REQUESTS: usize = 30;
+/// Fingerprint of the poison request. Those of harmless requests are greater.
 const POISON: u64 = 0;
 
 struct Outcome {
@@ -22,7 +25,7 @@
     innocents: usize,
 }
 
-/// A run of a policy with a seed.
+/// Simulates a policy with a seed.
 type Simulation = fn(u64) -> Outcome;
 
 pub(crate) fn run(options: &Options) -> Vec<Table> {
@@ -42,15 +45,15 @@
         ("godwitspool", |seed| simulate(seed, Policy::Trials)),
     ];
     for (name, run) in policies {
-        let outcomes: Vec<Outcome> = (0..RUNS).map(|turn| run(options.seed + turn)).collect();
+        let outcomes: Vec<Outcome> = (0..RUNS).map(|round| run(options.seed + round)).collect();
         let crashed: usize = outcomes.iter().map(|outcome| outcome.crashed).sum();
-        let most = outcomes.iter().map(|outcome| outcome.crashed).max();
+        let max_crashed = outcomes.iter().map(|outcome| outcome.crashed).max();
         let innocents: usize = outcomes.iter().map(|outcome| outcome.innocents).sum();
         table.push_row([
             name.to_owned(),
             RUNS.to_string(),
             format!("{:.2}", crashed as f64 / RUNS as f64),
-            most.unwrap_or(0).to_string(),
+            max_crashed.unwrap_or(0).to_string(),
             innocents.to_string(),
         ]);
     }
@@ -59,14 +62,16 @@
 
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Policy {
+    /// Quarantines every request that was in flight during two crashes.
     Counting,
     None,
+    /// The policy of this project: a target runs at most one suspect request at a time, as a trial.
     Trials,
 }
 
-/// What hosts know, told at once.
+/// The state of all hosts, which is shared without delay.
 #[derive(Default)]
-struct Knowledge {
+struct SharedState {
     counts: BTreeMap<u64, u32>,
     list: SuspectList,
     suspects: Suspects,
@@ -74,47 +79,51 @@
 
 fn simulate(seed: u64, policy: Policy) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut known = Knowledge::default();
+    let mut state = SharedState::default();
     let mut crashed = BTreeSet::new();
-    for turn in 0..TURNS {
-        let now = Millis(turn * 100);
-        let mut flying = BTreeMap::<u64, Vec<u64>>::new();
+    for round in 0..ROUNDS {
+        let now = Millis(round * 100);
+        let mut in_flight = BTreeMap::<u64, Vec<u64>>::new();
         let mut trials = BTreeMap::<u64, u64>::new();
-        let mut prints: Vec<u64> = (0..INNOCENTS).map(|_| rng.random_range(1..400)).collect();
-        prints.insert(rng.random_range(0..prints.len()), POISON);
-        for print in prints {
+        let mut requests: Vec<u64> = (0..INNOCENT_REQUESTS)
+            .map(|_| rng.random_range(1..400))
+            .collect();
+        requests.insert(rng.random_range(0..requests.len()), POISON);
+        for request in requests {
             let alive = (0..TARGETS).filter(|id| !crashed.contains(id));
             let Some(target) = alive.choose(&mut rng) else {
                 break;
             };
-            if known.lets(policy, print, target, &mut trials, now) {
-                flying.entry(target).or_default().push(print);
+            if state.admits(policy, request, target, &mut trials, now) {
+                in_flight.entry(target).or_default().push(request);
             }
         }
-        for (target, prints) in flying {
+        for (target, requests) in in_flight {
             let trial = trials.get(&target).copied();
-            if prints.contains(&POISON) {
+            if requests.contains(&POISON) {
                 crashed.insert(target);
-                known.crash(target, &prints, trial, now);
-            } else if let Some(print) = trial {
-                let over = SuspectEvent::TrialEnded {
+                state.record_crash(target, &requests, trial, now);
+            } else if let Some(request) = trial {
+                let trial_ended = SuspectEvent::TrialEnded {
                     answered: true,
-                    fingerprint: print,
+                    fingerprint: request,
                 };
-                known.settle(over, now);
+                state.apply(trial_ended, now);
             }
         }
     }
-    let end = Millis(TURNS * 100);
+    let end = Millis(ROUNDS * 100);
     let innocents = match policy {
         Policy::None => 0,
         Policy::Counting => {
-            let guilty = known.counts.iter().filter(|(_, count)| **count >= 2);
-            guilty.filter(|(print, _)| **print != POISON).count()
+            let quarantined_requests = state.counts.iter().filter(|(_, count)| **count >= 2);
+            quarantined_requests
+                .filter(|(request, _)| **request != POISON)
+                .count()
         }
         Policy::Trials => {
-            let listed = known.suspects.quarantined(end).into_iter();
-            listed.filter(|print| *print != POISON).count()
+            let listed = state.suspects.quarantined(end).into_iter();
+            listed.filter(|request| *request != POISON).count()
         }
     };
     Outcome {
@@ -123,53 +132,54 @@
     }
 }
 
-impl Knowledge {
-    fn lets(
+impl SharedState {
+    fn admits(
         &mut self,
         policy: Policy,
-        print: u64,
+        request: u64,
         target: u64,
         trials: &mut BTreeMap<u64, u64>,
         now: Millis,
     ) -> bool {
         match policy {
             Policy::None => true,
-            Policy::Counting => self.counts.get(&print).is_none_or(|count| *count < 2),
-            Policy::Trials => match self.list.status(print, now) {
+            Policy::Counting => self.counts.get(&request).is_none_or(|count| *count < 2),
+            Policy::Trials => match self.list.status(request, now) {
                 SuspectStatus::Clear => true,
                 SuspectStatus::Quarantined => false,
                 SuspectStatus::Suspect => {
                     let event = SuspectEvent::TrialRequested {
                         host: HostName::from("h"),
                         known: CrashRecord::default(),
-                        fingerprint: print,
+                        fingerprint: request,
                     };
-                    let free = !trials.contains_key(&target);
-                    let tried = free && self.suspects.decide(event, now) == [SuspectAction::Try];
-                    if tried {
-                        trials.insert(target, print);
+                    let has_no_trial = !trials.contains_key(&target);
+                    let starts_trial =
+                        has_no_trial && self.suspects.decide(event, now) == [SuspectAction::Try];
+                    if starts_trial {
+                        trials.insert(target, request);
                     }
-                    tried
+                    starts_trial
                 }
             },
         }
     }
 
-    fn crash(&mut self, target: u64, prints: &[u64], trial: Option<u64>, now: Millis) {
-        for print in prints {
-            *self.counts.entry(*print).or_default() += 1;
+    fn record_crash(&mut self, target: u64, requests: &[u64], trial: Option<u64>, now: Millis) {
+        for request in requests {
+            *self.counts.entry(*request).or_default() += 1;
         }
         let name = TargetName::from(format!("t{target}"));
-        for blame in split_blame(&name, prints, trial) {
-            self.settle(SuspectEvent::Blamed(blame), now);
+        for blame in split_blame(&name, requests, trial) {
+            self.apply(SuspectEvent::Blamed(blame), now);
         }
     }
 
-    fn settle(&mut self, event: SuspectEvent, now: Millis) {
+    fn apply(&mut self, event: SuspectEvent, now: Millis) {
         for action in self.suspects.decide(event, now) {
             match action {
-                SuspectAction::Announce(print, record) => self.list.announce(print, record, now),
-                SuspectAction::Clear(print) => self.list.clear(print),
+                SuspectAction::Announce(hash, record) => self.list.announce(hash, record, now),
+                SuspectAction::Clear(hash) => self.list.clear(hash),
                 _ => {}
             }
         }
--- a/crates/godwitspool-measure/src/serving/retries.rs
+++ b/crates/godwitspool-measure/src/serving/retries.rs
@@ -1,4 +1,4 @@
-//! Extra load from retries when a third of the targets fail.
+//! Extra load from retries when none, a third or all of the targets fail.
 
 use godwitspool_request::{
     AttemptOutcome, Attempts, Choice, Need, RetryBudget, RetryDecision, RetryReason, TargetFacts,
@@ -12,16 +12,17 @@
 const TARGETS: u64 = 15;
 const REQUESTS: u64 = 50_000;
 const WORKSPACES: u64 = 8;
-/// Retries of the baseline.
-const TRIES: u32 = 3;
+/// Maximum number of retries per request in the baseline.
+const MAX_BASELINE_RETRIES: u32 = 3;
 
 struct Outcome {
     attempts: u64,
     ok: u64,
-    worst: f64,
+    /// Largest extra load in a window of 1,000 requests, relative to the requests.
+    max_extra: f64,
 }
 
-/// A run of a policy with a number of failing targets and a seed.
+/// Simulates a policy with a number of failing targets and a seed.
 type Simulation = fn(u64, u64) -> Outcome;
 
 pub(crate) fn run(options: &Options) -> Vec<Table> {
@@ -35,11 +36,13 @@
     let mut table = Table::new("retries", &columns);
     for (name, failing) in [("none", 0), ("a third", TARGETS / 3), ("all", TARGETS)] {
         let policies: [(&str, Simulation); 3] = [
-            ("no retry", |failing, seed| naive(failing, seed, 0)),
+            ("no retry", |failing, seed| {
+                simulate_unbudgeted(failing, seed, 0)
+            }),
             ("three retries at random", |failing, seed| {
-                naive(failing, seed, TRIES)
+                simulate_unbudgeted(failing, seed, MAX_BASELINE_RETRIES)
             }),
-            ("godwitspool", budgeted),
+            ("godwitspool", simulate_budgeted),
         ];
         for (policy, run) in policies {
             let outcome = run(failing, options.seed);
@@ -47,7 +50,7 @@
                 name.to_owned(),
                 policy.to_owned(),
                 format!("{:.4}", outcome.attempts as f64 / REQUESTS as f64 - 1.0),
-                format!("{:.4}", outcome.worst),
+                format!("{:.4}", outcome.max_extra),
                 format!("{:.4}", outcome.ok as f64 / REQUESTS as f64),
             ]);
         }
@@ -55,22 +58,22 @@
     vec![table]
 }
 
-fn naive(failing: u64, seed: u64, tries: u32) -> Outcome {
+fn simulate_unbudgeted(failing: u64, seed: u64, max_retries: u32) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut extra = Extra::default();
+    let mut counter = AttemptCounter::default();
     for _ in 0..REQUESTS {
         let mut attempts = 1;
         let mut ok = rng.random_range(0..TARGETS) >= failing;
-        while !ok && attempts <= u64::from(tries) {
+        while !ok && attempts <= u64::from(max_retries) {
             attempts += 1;
             ok = rng.random_range(0..TARGETS) >= failing;
         }
-        extra.add(attempts, ok);
+        counter.add(attempts, ok);
     }
-    extra.outcome()
+    counter.outcome()
 }
 
-fn budgeted(failing: u64, seed: u64) -> Outcome {
+fn simulate_budgeted(failing: u64, seed: u64) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut targets = Targets::new(Dc::from("north"));
     for index in 0..TARGETS {
@@ -85,9 +88,9 @@
     }
     let mut workspaces = vec![RetryBudget::default(); WORKSPACES as usize];
     let mut class = RetryBudget::default();
-    let mut extra = Extra::default();
+    let mut counter = AttemptCounter::default();
     for request in 0..REQUESTS {
-        // 500 requests a second.
+        // 500 requests per second.
         let now = Millis(request * 2);
         let caller = rng.random_range(0..WORKSPACES);
         let mut need = Need {
@@ -122,30 +125,32 @@
                 break;
             }
         }
-        extra.add(sent, ok);
+        counter.add(sent, ok);
     }
-    extra.outcome()
+    counter.outcome()
 }
 
-/// Counts attempts over requests, and in the worst thousand in a row.
+/// Counts attempts in total and in windows of 1,000 requests.
 #[derive(Default)]
-struct Extra {
+struct AttemptCounter {
     attempts: u64,
     ok: u64,
-    part: u64,
+    /// Attempts in the current window.
+    window_attempts: u64,
     requests: u64,
-    worst: u64,
+    /// Largest number of attempts in a window.
+    max_window: u64,
 }
 
-impl Extra {
+impl AttemptCounter {
     fn add(&mut self, attempts: u64, ok: bool) {
         self.attempts += attempts;
         self.ok += u64::from(ok);
-        self.part += attempts;
+        self.window_attempts += attempts;
         self.requests += 1;
         if self.requests.is_multiple_of(1_000) {
-            self.worst = self.worst.max(self.part);
-            self.part = 0;
+            self.max_window = self.max_window.max(self.window_attempts);
+            self.window_attempts = 0;
         }
     }
 
@@ -153,7 +158,7 @@
         Outcome {
             attempts: self.attempts,
             ok: self.ok,
-            worst: self.worst as f64 / 1_000.0 - 1.0,
+            max_extra: self.max_window as f64 / 1_000.0 - 1.0,
         }
     }
 }
--- a/crates/godwitspool-measure/src/serving/silence.rs
+++ b/crates/godwitspool-measure/src/serving/silence.rs
@@ -1,4 +1,4 @@
-//! Time to find a silent connection, and live streams that are cut.
+//! Time to detect a silent connection, and live streams that are cut as silent, by policy.
 
 use godwitspool_request::{IdleTimeout, Wait};
 use godwitspool_types::Millis;
@@ -9,14 +9,14 @@
 const STREAMS: u32 = 10_000;
 const TOKENS: u32 = 200;
 
-/// How gaps between tokens are spread.
+/// Distribution of the gaps between tokens.
 #[derive(Clone, Copy)]
 enum Gaps {
-    /// Even, give or take a half.
+    /// Uniform, within 50% of the mean.
     Even,
-    /// Exponential: bursts and long pauses.
+    /// Exponential, which has bursts and long pauses.
     Exponential,
-    /// Even, with a tenfold pause in a hundred.
+    /// Like `Even`, but 1% of the gaps are ten times the mean.
     Pauses,
 }
 
@@ -42,17 +42,18 @@
 #[derive(Clone, Copy)]
 enum Policy {
     Fixed(Millis),
-    Learnt,
-    /// Learnt, starting from what the target's other streams have shown.
-    LearntFromTarget,
+    /// Learned from the gaps of the stream itself.
+    Learned,
+    /// Learned, starting from the timeout of the last stream of the target.
+    LearnedFromTarget,
 }
 
 impl Policy {
     fn name(self) -> String {
         match self {
-            Self::Fixed(bound) => format!("fixed {bound}"),
-            Self::Learnt => "godwitspool, first stream".to_owned(),
-            Self::LearntFromTarget => "godwitspool".to_owned(),
+            Self::Fixed(timeout) => format!("fixed {timeout}"),
+            Self::Learned => "godwitspool, first stream".to_owned(),
+            Self::LearnedFromTarget => "godwitspool".to_owned(),
         }
     }
 }
@@ -71,21 +72,23 @@
     let policies = [
         Policy::Fixed(Millis(1_000)),
         Policy::Fixed(Millis(10_000)),
-        Policy::Learnt,
-        Policy::LearntFromTarget,
+        Policy::Learned,
+        Policy::LearnedFromTarget,
     ];
     for pace_ms in [50.0, 500.0, 2_000.0] {
         for gaps in [Gaps::Even, Gaps::Exponential, Gaps::Pauses] {
             for policy in policies {
-                let (found, cut) = simulate(policy, gaps, pace_ms, options.seed);
-                let at = |part: f64| found[(found.len() as f64 * part) as usize].to_string();
+                let (detection_ms, cut) = simulate(policy, gaps, pace_ms, options.seed);
+                let detection_at = |quantile: f64| {
+                    detection_ms[(detection_ms.len() as f64 * quantile) as usize].to_string()
+                };
                 table.push_row([
                     pace_ms.to_string(),
                     gaps.name().to_owned(),
                     policy.name(),
                     STREAMS.to_string(),
-                    at(0.5),
-                    at(0.99),
+                    detection_at(0.5),
+                    detection_at(0.99),
                     cut.to_string(),
                 ]);
             }
@@ -94,34 +97,34 @@
     vec![table]
 }
 
-/// Returns the times to find silence after a random token, sorted, and how many live streams were
-/// cut.
+/// Returns the sorted times to detect that a stream goes silent after a random token, and the
+/// number of live streams that were cut.
 fn simulate(policy: Policy, gaps: Gaps, pace_ms: f64, seed: u64) -> (Vec<u64>, u32) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let (mut found, mut cut) = (Vec::new(), 0);
-    let mut target = IdleTimeout::new(Wait::NextByte);
+    let (mut detection_ms, mut cut) = (Vec::new(), 0);
+    let mut last_timeout = IdleTimeout::new(Wait::NextByte);
     for _ in 0..STREAMS {
-        let mut pace = match policy {
-            Policy::LearntFromTarget => IdleTimeout::seeded_from(&target),
+        let mut idle_timeout = match policy {
+            Policy::LearnedFromTarget => IdleTimeout::seeded_from(&last_timeout),
             _ => IdleTimeout::new(Wait::NextByte),
         };
-        let bound = |pace: &IdleTimeout| match policy {
-            Policy::Fixed(bound) => bound,
-            _ => pace.current(),
+        let timeout = |idle_timeout: &IdleTimeout| match policy {
+            Policy::Fixed(timeout) => timeout,
+            _ => idle_timeout.current(),
         };
-        let silent = rng.random_range(10..TOKENS);
+        let silent_from = rng.random_range(10..TOKENS);
         let mut alive = true;
         for token in 0..TOKENS {
-            if token == silent {
-                found.push(bound(&pace).0);
+            if token == silent_from {
+                detection_ms.push(timeout(&idle_timeout).0);
             }
             let gap = gaps.draw(pace_ms, &mut rng);
-            alive &= gap <= bound(&pace);
-            pace.observe(gap);
+            alive &= gap <= timeout(&idle_timeout);
+            idle_timeout.observe(gap);
         }
         cut += u32::from(!alive);
-        target = pace;
+        last_timeout = idle_timeout;
     }
-    found.sort_unstable();
-    (found, cut)
+    detection_ms.sort_unstable();
+    (detection_ms, cut)
 }
