--- a/crates/godwitspool-entry/src/process/serving.rs
+++ b/crates/godwitspool-entry/src/process/serving.rs
@@ -1,4 +1,4 @@
-//! State of the interactive path.
+//! State of the path for callers' interactive requests.
 
 use std::sync::{Arc, PoisonError, RwLock};
 
@@ -14,8 +14,8 @@
     request::{
         authorize::Keys,
         dispatch::Dispatch,
+        idempotency::IdempotencyKeys,
         journal::{Journal, Step},
-        keyed::Keyed,
         peers,
         quota::Quota,
         refusal::Refusal,
@@ -23,13 +23,13 @@
     },
 };
 
-/// State of the interactive path.
+/// State of the path for callers' interactive requests.
 #[derive(Debug)]
 pub(crate) struct Serving {
     clock: Clock,
     pub(crate) dispatch: Dispatch,
     pub(crate) journal: Journal,
-    pub(crate) keyed: Keyed,
+    pub(crate) idempotency: IdempotencyKeys,
     pub(crate) keys: Arc<Keys>,
     members: RwLock<Arc<Vec<HostName>>>,
     pub(crate) metrics: Arc<Metrics>,
@@ -48,7 +48,7 @@
             clock: Clock::start(),
             dispatch: Dispatch::new(settings.dc.clone()),
             journal: Journal::default(),
-            keyed: Keyed::default(),
+            idempotency: IdempotencyKeys::default(),
             keys: Arc::default(),
             members: RwLock::new(Arc::new(vec![settings.host.clone()])),
             metrics: Arc::new(metrics),
@@ -59,31 +59,28 @@
         }
     }
 
-    /// Returns the time.
+    /// Returns the time since the entry's start.
     pub(crate) fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Adds a step to the journal.
-    pub(crate) fn note(&self, id: RequestId, step: Step) {
-        self.journal.add(id, step, self.now());
+    /// Appends a step of a request to the journal.
+    pub(crate) fn record_step(&self, id: RequestId, step: Step) {
+        self.journal.append(id, step, self.now());
     }
 
-    /// Counts and journals a refusal.
-    pub(crate) fn refused(&self, id: RequestId, refusal: &Refusal) {
+    /// Counts a refusal in the metrics and appends it to the journal.
+    pub(crate) fn record_refusal(&self, id: RequestId, refusal: &Refusal) {
         self.refusals.count(refusal.code());
         let step = Step::Refused {
             ran: refusal.ran().as_str(),
             reason: refusal.code().to_owned(),
         };
-        self.note(id, step);
+        self.record_step(id, step);
     }
 
-    // -----------------------------------------------------------------------
-    // Other hosts
-
-    /// Takes the members of a view and returns them as they were before.
-    pub(crate) fn learn_members(&self, view: &View, own: &HostName) -> Arc<Vec<HostName>> {
+    /// Replaces the members with those of a view that aren't leaving. Returns the previous members.
+    pub(crate) fn update_members(&self, view: &View, own: &HostName) -> Arc<Vec<HostName>> {
         let staying = view.members.iter().filter(|member| !member.leaving);
         let mut names: Vec<HostName> = staying.map(|member| member.host.clone()).collect();
         if !names.contains(own) {
@@ -94,13 +91,13 @@
         std::mem::replace(&mut *members, Arc::new(names))
     }
 
-    /// Returns the hosts that serve, this one among them.
+    /// Returns the hosts that aren't leaving. This host is always among them.
     pub(crate) fn members(&self) -> Arc<Vec<HostName>> {
         let members = self.members.read().unwrap_or_else(PoisonError::into_inner);
         Arc::clone(&members)
     }
 
-    /// Returns the home host of a key.
+    /// Returns the home host of a key: the host that keeps its state.
     pub(crate) fn home(&self, shared: &Shared, key: u64) -> HostName {
         let members = self.members();
         let home = homes(key, &members, HostName::as_str, 1).first().copied();
@@ -108,7 +105,7 @@
     }
 }
 
-/// Asks a host, which may be this one; nothing when it can't be asked.
+/// Calls a host, which may be this one. Returns `None` when it can't be reached.
 pub(crate) fn call(
     shared: &Arc<Shared>,
     host: &HostName,
@@ -124,7 +121,7 @@
         Ok(EntryAnswer::Serving(answer)) => Some(answer),
         Ok(_) => None,
         Err(error) => {
-            log::debug!(host:%; "entry is not reached: {error}");
+            log::debug!(host:%; "cannot call the entry: {error}");
             None
         }
     }
--- a/crates/godwitspool-measure/src/control/log_host.rs
+++ b/crates/godwitspool-measure/src/control/log_host.rs
@@ -84,7 +84,7 @@
             StewardRequest::Tail(from) => tail_reader.tail(from, MAX_TAIL_WAIT),
             _ => StewardAnswer::NotReady,
         };
-        let bounds = ServeBounds::default().with_threads(256);
+        let bounds = ServeBounds::default().with_max_threads(256);
         let server = Server::start(listener, bounds, handler).expect("a thread starts");
         Self {
             entry: host_entry(&name, dc, address),
--- a/crates/godwitspool-process/src/log_reader/source.rs
+++ b/crates/godwitspool-process/src/log_reader/source.rs
@@ -129,7 +129,7 @@
         if links.len() > MAX_LINKS && !links.contains_key(&address) {
             links.clear();
         }
-        let bounds = LinkBounds::default().with_answer(PEER_ANSWER_TIMEOUT);
+        let bounds = LinkBounds::default().with_answer_timeout(PEER_ANSWER_TIMEOUT);
         let link = links
             .entry(address)
             .or_insert_with(|| Arc::new(Link::new(address, bounds)));
