--- a/crates/godwitspool-measure/src/fit.rs
+++ b/crates/godwitspool-measure/src/fit.rs
@@ -1,36 +1,36 @@
-//! A straight line through measured points.
+//! Linear fit of measured points.
 
-/// A straight line through points, by least squares.
+/// A straight line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Value at zero.
+    /// Value of the line at size zero.
     pub intercept: f64,
-    /// Largest distance of a point from the line, as a share of the largest value.
+    /// Largest vertical distance of a point from the line, divided by the largest absolute value.
     pub residual: f64,
-    /// Change of the value for each unit.
+    /// Increase of the value per unit of size.
     pub slope: f64,
 }
 
 /// A measured point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Size.
+    /// Size at which the value was measured.
     pub x: f64,
-    /// Figure at that size.
+    /// Measured value at that size.
     pub y: f64,
 }
 
 impl Fit {
-    /// Fits a line; `None` for fewer than two sizes.
+    /// Fits a line. Returns `None` for fewer than two different sizes.
     ///
     /// ```
     /// use godwitspool_measure::{Fit, Point};
     ///
     /// let points = [1.0, 2.0, 3.0].map(|x| Point { x, y: 2.0 * x + 1.0 });
-    /// let fit = Fit::through(&points).unwrap();
-    /// assert!((fit.at(10.0) - 21.0).abs() < 1e-9);
+    /// let fit = Fit::least_squares(&points).unwrap();
+    /// assert!((fit.value_at(10.0) - 21.0).abs() < 1e-9);
     /// ```
-    pub fn through(points: &[Point]) -> Option<Self> {
+    pub fn least_squares(points: &[Point]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
@@ -62,8 +62,8 @@
         })
     }
 
-    /// Returns the line's value at a size.
-    pub fn at(&self, x: f64) -> f64 {
+    /// Returns the value of the line at size `x`.
+    pub fn value_at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
