--- a/crates/godwitspool-connection/src/call_error.rs
+++ b/crates/godwitspool-connection/src/call_error.rs
@@ -32,7 +32,7 @@
         status: u16,
         /// Seconds of `Retry-After`; `None` without the header or when it holds a date.
         retry_after: Option<u64>,
-        /// Body of the answer; empty when it is longer than 512 bytes or not UTF-8.
+        /// Body of the response; empty when it is longer than 512 bytes or not UTF-8.
         message: String,
     },
     /// The answer is not valid in the protocol.
--- a/crates/godwitspool-connection/src/http.rs
+++ b/crates/godwitspool-connection/src/http.rs
@@ -15,43 +15,43 @@
     },
 };
 
-const MAX_ANSWER_BYTES: u64 = 64 << 20;
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 const MAX_REASON_BYTES: u64 = 1 << 10;
 
 /// Why a call to the platform failed.
 #[derive(Debug, Snafu)]
 pub enum PlatformError {
-    /// The platform is unreachable or answered 503; the call had no effect.
+    /// The platform is unreachable or responded with 503; the call had no effect.
     #[snafu(display("{call}: platform unavailable: {reason}"))]
     Outage {
-        /// The call.
+        /// Name of the call, such as `append`.
         call: &'static str,
-        /// What was seen.
+        /// Error of the HTTP library, or the body of the response.
         reason: String,
     },
     /// The platform refused the call; the call had no effect.
     #[snafu(display("{call}: platform refused with status {status}: {reason}"))]
     Refused {
-        /// The call.
+        /// Name of the call, such as `append`.
         call: &'static str,
-        /// HTTP status code of the answer.
+        /// HTTP status code of the response.
         status: u16,
-        /// Body of the answer; empty when it is longer than 1 KiB or not UTF-8.
+        /// Body of the response; empty when it is longer than 1 KiB or not UTF-8.
         reason: String,
     },
     /// The check before the last byte failed, so the request stayed incomplete; the call had no
     /// effect.
-    #[snafu(display("{call}: not sent, the check before its last byte failed"))]
+    #[snafu(display("{call}: request left incomplete, the check before its last byte failed"))]
     Withheld {
-        /// The call.
+        /// Name of the call, such as `order`.
         call: &'static str,
     },
-    /// The request was sent, but no valid answer arrived; it may have taken effect.
+    /// The request may have been sent, but no valid response arrived; it may have taken effect.
     #[snafu(display("{call}: outcome unknown: {reason}"))]
     Unknown {
-        /// The call.
+        /// Name of the call, such as `append`.
         call: &'static str,
-        /// What was seen.
+        /// Error of the HTTP library or the decoder, or the status and body of the response.
         reason: String,
     },
 }
@@ -173,8 +173,8 @@
     fn get<T: DeserializeOwned>(&self, call: &'static str, path: &str) -> Result<T, PlatformError> {
         let url = format!("{}{path}", self.base);
         let result = self.agent.get(&url).call();
-        let mut answer = check_status(call, result, &[])?;
-        parse(call, &mut answer)
+        let mut response = check_status(call, result, &[])?;
+        parse(call, &mut response)
     }
 
     fn post(
@@ -218,8 +218,8 @@
         let body = AppendRequest {
             records: records.to_vec(),
         };
-        let mut answer = self.post("append", "/log/append", &body, &[])?;
-        parse("append", &mut answer)
+        let mut response = self.post("append", "/log/append", &body, &[])?;
+        parse("append", &mut response)
     }
 
     fn read(&self, from: Offset, max: usize) -> Result<LogPage, PlatformError> {
@@ -240,8 +240,8 @@
         may_send: &dyn Fn() -> bool,
     ) -> Result<OrderAnswer, PlatformError> {
         // Status 409 carries an `OrderAnswer`: `Fenced` or `NoneAvailable`.
-        let mut answer = self.post_checked("order", "/orders", order, &[409], may_send)?;
-        parse("order", &mut answer)
+        let mut response = self.post_checked("order", "/orders", order, &[409], may_send)?;
+        parse("order", &mut response)
     }
 
     fn report(
@@ -254,18 +254,18 @@
     }
 }
 
-/// Returns the answer if its status is a success or one of `accepted`, and an error otherwise.
+/// Returns the response if its status is a success or one of `accepted`, and an error otherwise.
 fn check_status(
     call: &'static str,
     result: Result<Response<Body>, ureq::Error>,
     accepted: &[u16],
 ) -> Result<Response<Body>, PlatformError> {
-    let mut answer = result.map_err(|error| classify(call, &error))?;
-    let status = answer.status().as_u16();
+    let mut response = result.map_err(|error| classify(call, &error))?;
+    let status = response.status().as_u16();
     if (200..300).contains(&status) || accepted.contains(&status) {
-        return Ok(answer);
+        return Ok(response);
     }
-    let body = answer.body_mut().with_config().limit(MAX_REASON_BYTES);
+    let body = response.body_mut().with_config().limit(MAX_REASON_BYTES);
     let reason = body.read_to_string().unwrap_or_default();
     Err(match status {
         503 => PlatformError::Outage { call, reason },
@@ -303,9 +303,9 @@
 
 fn parse<T: DeserializeOwned>(
     call: &'static str,
-    answer: &mut Response<Body>,
+    response: &mut Response<Body>,
 ) -> Result<T, PlatformError> {
-    let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
+    let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES);
     body.read_json().map_err(|error| PlatformError::Unknown {
         call,
         reason: error.to_string(),
--- a/crates/godwitspool-connection/src/messages.rs
+++ b/crates/godwitspool-connection/src/messages.rs
@@ -26,7 +26,7 @@
     HeldUsage,
     /// Stores usage records of an entry; answered once they are stored.
     HoldUsage(Vec<UsageRecord>),
-    /// Asks for a snapshot of the configuration's fold.
+    /// Asks for a snapshot of the steward's fold of the log.
     Snapshot,
     /// Asks for the records of the log from this offset on.
     Tail(Offset),
@@ -52,7 +52,7 @@
     },
     /// Records of the log.
     Tail {
-        /// Milliseconds since the steward last knew that it had applied the whole log.
+        /// Milliseconds since the steward last knew that it had applied the complete log.
         age_ms: u64,
         /// Records in order of offset.
         records: Vec<LogRecord>,
--- a/crates/godwitspool-connection/src/peer/link.rs
+++ b/crates/godwitspool-connection/src/peer/link.rs
@@ -124,7 +124,8 @@
 /// A client of one address. All calls share one connection, which is opened when needed.
 ///
 /// Several threads may call at the same time. After a call has timed out, new calls use a new
-/// connection; calls in flight on the old one wait until their own timeouts.
+/// connection; calls in flight on the old one still wait for their answers, up to their own
+/// timeouts.
 pub struct Link<Request, Answer> {
     address: SocketAddr,
     bounds: LinkBounds,
--- a/crates/godwitspool-connection/src/plain_call.rs
+++ b/crates/godwitspool-connection/src/plain_call.rs
@@ -34,7 +34,7 @@
 pub struct Header {
     /// Name, in lower case.
     pub name: String,
-    /// Value, as UTF-8.
+    /// Value; response headers whose value isn't visible ASCII are dropped.
     pub value: String,
 }
 
@@ -76,7 +76,7 @@
 /// The answer of a plain service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlainAnswer {
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Vec<u8>,
     /// Headers that are forwarded to the caller.
     pub headers: Vec<Header>,
--- a/crates/godwitspool-connection/src/target_client.rs
+++ b/crates/godwitspool-connection/src/target_client.rs
@@ -20,14 +20,14 @@
     token_stream::TokenStream,
 };
 
-/// Idle timeout of calls with a short answer: cancel, export, load, cache events and scoring.
+/// Idle timeout of calls with a short response: cancel, export, load, cache events and scoring.
 const CALL_IDLE_TIMEOUT: Millis = Millis(2_000);
 /// Idle connections kept for a target.
 const MAX_POOLED: usize = 64;
 /// Maximum size of an error's body; a longer one is replaced by an empty message.
 const MAX_MESSAGE_BYTES: u64 = 512;
-/// Maximum size of an answer that isn't streamed.
-const MAX_ANSWER_BYTES: u64 = 16 << 20;
+/// Maximum size of a response that isn't streamed.
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
 /// A client of one target. Clones share the pool of connections.
 #[derive(Clone, Debug)]
@@ -160,7 +160,7 @@
         connection.set_idle_timeout(idle_timeout);
         let request = call.to_request(self.address)?;
         let response = run(&connection, request, idle_timeout)?;
-        let answer = PlainAnswer::read(response, MAX_ANSWER_BYTES)
+        let answer = PlainAnswer::read(response, MAX_RESPONSE_BYTES)
             .map_err(|error| call_error(&connection, &error, idle_timeout))?;
         self.return_connection(connection);
         Ok(answer)
@@ -267,7 +267,7 @@
 ) -> Result<Vec<u8>, CallError> {
     let mut body = response.into_body();
     body.with_config()
-        .limit(MAX_ANSWER_BYTES)
+        .limit(MAX_RESPONSE_BYTES)
         .read_to_vec()
         .map_err(|error| call_error(connection, &error, idle_timeout))
 }
--- a/crates/godwitspool-connection/src/target_connection.rs
+++ b/crates/godwitspool-connection/src/target_connection.rs
@@ -18,7 +18,7 @@
     },
 };
 
-/// Maximum size of an answer's header block, and of one read.
+/// Maximum size of a response's header block, and of one read.
 const BUFFER_BYTES: usize = 16 << 10;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_IDLE_AGE: Duration = Duration::from_secs(20);
--- a/crates/godwitspool-connection/tests/platform.rs
+++ b/crates/godwitspool-connection/tests/platform.rs
@@ -48,7 +48,7 @@
     reader.read_exact(&mut vec![0; bytes]).unwrap();
 }
 
-fn http_answer(status: &str, body: &str) -> String {
+fn http_response(status: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}")
 }
@@ -65,11 +65,11 @@
 }
 
 #[rstest]
-#[case::outage(&http_answer("503 Service Unavailable", "out"), "outage", Ran::NotRun)]
-#[case::rate(&http_answer("429 Too Many Requests", "rate"), "refused", Ran::NotRun)]
-#[case::bad_request(&http_answer("400 Bad Request", "no"), "refused", Ran::NotRun)]
-#[case::failed(&http_answer("500 Internal Server Error", "oh"), "unknown", Ran::Unknown)]
-#[case::gateway(&http_answer("502 Bad Gateway", "oh"), "unknown", Ran::Unknown)]
+#[case::outage(&http_response("503 Service Unavailable", "out"), "outage", Ran::NotRun)]
+#[case::rate(&http_response("429 Too Many Requests", "rate"), "refused", Ran::NotRun)]
+#[case::bad_request(&http_response("400 Bad Request", "no"), "refused", Ran::NotRun)]
+#[case::failed(&http_response("500 Internal Server Error", "oh"), "unknown", Ran::Unknown)]
+#[case::gateway(&http_response("502 Bad Gateway", "oh"), "unknown", Ran::Unknown)]
 #[case::closed("", "unknown", Ran::Unknown)]
 #[case::no_http("\u{1}\u{2}\u{3}\r\n\r\n", "unknown", Ran::Unknown)]
 #[case::cut_head("HTTP/1.1 200 OK\r\nContent-", "unknown", Ran::Unknown)]
@@ -78,9 +78,9 @@
     "unknown",
     Ran::Unknown
 )]
-#[case::no_json(&http_answer("200 OK", "well done"), "unknown", Ran::Unknown)]
-#[case::other_json(&http_answer("200 OK", "{\"second\": 1}"), "unknown", Ran::Unknown)]
-#[case::redirect(&http_answer("302 Found", ""), "refused", Ran::NotRun)]
+#[case::no_json(&http_response("200 OK", "well done"), "unknown", Ran::Unknown)]
+#[case::other_json(&http_response("200 OK", "{\"second\": 1}"), "unknown", Ran::Unknown)]
+#[case::redirect(&http_response("302 Found", ""), "refused", Ran::NotRun)]
 fn an_append_that_fails_says_whether_it_may_have_run(
     #[case] answer: &str,
     #[case] kind: &str,
@@ -122,24 +122,24 @@
 
 #[test]
 fn throttling_is_distinguished_from_other_refusals() {
-    let rate = platform_answering(&http_answer("429 Too Many Requests", "")).append(&[]);
+    let rate = platform_answering(&http_response("429 Too Many Requests", "")).append(&[]);
     assert!(rate.unwrap_err().is_throttled());
-    let other = platform_answering(&http_answer("403 Forbidden", "")).append(&[]);
+    let other = platform_answering(&http_response("403 Forbidden", "")).append(&[]);
     assert!(!other.unwrap_err().is_throttled());
 }
 
 #[test]
 fn answers_are_read() {
-    let appended = platform_answering(&http_answer("200 OK", "{\"first\": 7}")).append(&[]);
+    let appended = platform_answering(&http_response("200 OK", "{\"first\": 7}")).append(&[]);
     assert_eq!(appended.unwrap().first, Offset(7));
-    let fenced = platform_answering(&http_answer("409 Conflict", "{\"fenced\": 9}"));
+    let fenced = platform_answering(&http_response("409 Conflict", "{\"fenced\": 9}"));
     let answer = fenced.order(&order(), &|| true).unwrap();
     assert_eq!(answer, OrderAnswer::Fenced(Term(9)));
 }
 
 #[test]
 fn an_order_that_fails_its_check_is_withheld() {
-    let platform = platform_answering(&http_answer("200 OK", "{\"done\": []}"));
+    let platform = platform_answering(&http_response("200 OK", "{\"done\": []}"));
     let error = platform.order(&order(), &|| false).unwrap_err();
     assert!(matches!(error, PlatformError::Withheld { .. }), "{error}");
     assert_eq!(error.ran(), Ran::NotRun);
