--- a/crates/godwitspool-process/src/daemon.rs
+++ b/crates/godwitspool-process/src/daemon.rs
@@ -20,7 +20,7 @@
 /// A daemon's parsed command line: `NAME SETTINGS.yaml [--check] [--help] [--version]`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum DaemonCommand {
-    /// Check the settings file and exit.
+    /// Check the settings file and exit, with status 2 if there are findings.
     Check(PathBuf),
     /// Print the help and exit.
     Help,
@@ -67,7 +67,8 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT: the first requests a graceful shutdown, the second an immediate one.
+/// Waits for SIGTERM or SIGINT: the first requests a graceful shutdown, the second an immediate
+/// one.
 #[derive(Debug)]
 pub struct Termination {
     signals: Signals,
--- a/crates/godwitspool-process/src/folder.rs
+++ b/crates/godwitspool-process/src/folder.rs
@@ -1,9 +1,9 @@
 //! The operators' folder: many small files that are joined into one configuration.
 //!
 //! Files are merged in the order of their names: mappings key by key, lists by appending; any other
-//! value is replaced by that of the later file. In a file with a `party`, the names of data centres,
-//! services, classes and workspaces belong to that party; the joined configuration calls them
-//! `party/name`. A file without a party uses full names.
+//! value is replaced by that of the later file. In a file with a `party`, the names of data
+//! centres, services, classes and workspaces belong to that party; the joined configuration calls
+//! them `party/name`. A file without a party uses full names.
 //!
 //! ```
 //! use godwitspool_process::folder::{Source, join};
@@ -59,7 +59,7 @@
 pub struct Folder {
     /// The merged configuration.
     pub configuration: Configuration,
-    /// Values that a later file replaced, in the order they were replaced.
+    /// Values that a later file replaced, in the order in which they were replaced.
     pub overrides: Vec<Override>,
 }
 
@@ -89,8 +89,8 @@
 ///
 /// # Errors
 ///
-/// Returns all findings in all files, or one finding if the folder or a file can't be read or there
-/// is no such file.
+/// Returns all findings in all files, or one finding if the folder or a file can't be read or the
+/// folder has no such file.
 pub fn load(dir: impl AsRef<Path>) -> Result<Folder, Findings> {
     let dir = dir.as_ref();
     join(read_sources(dir).map_err(|error| unreadable(dir, &error))?)
--- a/crates/godwitspool-process/src/folder/names.rs
+++ b/crates/godwitspool-process/src/folder/names.rs
@@ -138,7 +138,7 @@
 
     /// Returns the full name that a reference in a file refers to, or `None` if it is not defined.
     ///
-    /// A name of the file's own party takes precedence over a shared name.
+    /// A name of the file's own party takes precedence over the same name without a party.
     pub fn resolve(&self, section: Section, name: &str, place: &Place) -> Option<String> {
         let own = self
             .parties
@@ -274,7 +274,7 @@
             findings.push(Finding {
                 place: entry.place.clone(),
                 message: format!(
-                    "{} stands twice, first in line {}",
+                    "{} appears twice, first in line {}",
                     entry.key, first.place.line
                 ),
             });
--- a/crates/godwitspool-process/src/http_listener.rs
+++ b/crates/godwitspool-process/src/http_listener.rs
@@ -23,7 +23,7 @@
 const REOPEN_BACKOFF: Duration = Duration::from_millis(50);
 /// The standard library's backlog of 128 makes clients in a burst wait for a second.
 const BACKLOG: i32 = 1_024;
-/// Keepalive time and TCP user timeout, after which an unreachable client's connection is closed.
+/// Keepalive time and TCP user timeout of a connection, so that those of unreachable clients end.
 const DEAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Receives HTTP requests from a listener.
--- a/crates/godwitspool-process/src/log_reader/plan.rs
+++ b/crates/godwitspool-process/src/log_reader/plan.rs
@@ -22,8 +22,9 @@
     /// Time after the start before a peer's answer can make the host ready. Until then the host
     /// may not have learned from gossip how far other hosts are.
     pub settle_time: Millis,
-    /// Backoff after the first failure; it doubles with each further one. Also the delay of the
-    /// next read when the known end of the log has not been reached.
+    /// Upper bound of the backoff after the first failure; it doubles with each further failure, at
+    /// most six times. The backoff is random, from half of the bound up. Also the delay of the next
+    /// read while the known end of the log has not been reached.
     pub min_backoff: Millis,
     /// Time for which the platform is the last choice after it failed.
     pub platform_backoff: Millis,
@@ -287,8 +288,8 @@
             .filter(move |member| member.host != *own.0 && member.dc == *own.1)
     }
 
-    /// Returns the readers among the other hosts of the local data centre. Half of the hosts get
-    /// them in reverse order, so that the load is spread over the readers.
+    /// Returns the readers among the other hosts of the local data centre. Hosts with an odd rank
+    /// get them in reverse order, so that not all hosts try the same reader first.
     fn readers(&self) -> impl Iterator<Item = &Member> {
         let mut readers: Vec<_> = self.local().filter(|member| !member.leaving).collect();
         readers.sort_by_key(|member| rank(&member.host));
@@ -317,8 +318,8 @@
     Source::Peer(member.steward)
 }
 
-/// Returns the rank of a host; the hosts with the lowest ranks are readers. The salt keeps the
-/// order independent of the one by which relays are chosen.
+/// Returns the rank of a host; the hosts with the lowest ranks are readers. Because of the salt the
+/// order differs from the one by which relays are chosen.
 fn rank(host: &HostName) -> u64 {
     const SALT: &[u8] = b"log reader ";
     rapidhash_v3(&[SALT, host.as_str().as_bytes()].concat())
--- a/crates/godwitspool-process/src/log_reader/replica.rs
+++ b/crates/godwitspool-process/src/log_reader/replica.rs
@@ -83,7 +83,8 @@
         Ok(all)
     }
 
-    /// Replaces the state with a snapshot if the snapshot is newer, and returns whether it was.
+    /// Replaces the state with a snapshot if the snapshot reaches further or nothing has been
+    /// applied yet, and returns whether it did.
     pub fn restore(&mut self, fold: Fold) -> bool {
         if fold.next() <= self.fold.next() && self.fold.next() > Offset(0) {
             return false;
@@ -134,7 +135,8 @@
         self.withdrawal
     }
 
-    /// Returns the time since the state last included the log's end, or `None` if it never did.
+    /// Returns the time since the state was last known to include the log's end, or `None` if it
+    /// never was.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.confirmed_at.map(|at| now - at)
     }
--- a/crates/godwitspool-process/src/log_reader/thread.rs
+++ b/crates/godwitspool-process/src/log_reader/thread.rs
@@ -31,7 +31,7 @@
 pub enum LogEvent {
     /// Records were applied, with these changes in the order of the log.
     Applied(Vec<Applied>),
-    /// The state included the log's end at this time.
+    /// The state was known to include the log's end at this time.
     Confirmed(Millis),
     /// A snapshot was restored; any part of the state may have changed.
     Restored,
--- a/crates/godwitspool-process/src/membership.rs
+++ b/crates/godwitspool-process/src/membership.rs
@@ -1,6 +1,6 @@
 //! Membership: which hosts of the system are alive, leaving or down.
 //!
-//! The protocol follows SWIM. Hosts of a data centre probe each other over UDP. A host that answers
+//! Hosts of a data centre probe each other over UDP, as in the SWIM protocol. A host that answers
 //! neither directly nor through indirect probes is suspected, and is marked down unless it refutes
 //! the suspicion in time. Only hosts of the same data centre judge a host's health; a few of them,
 //! the relays, pass it on to other data centres. Updates are piggybacked on the probes, so the
--- a/crates/godwitspool-process/src/membership/core.rs
+++ b/crates/godwitspool-process/src/membership/core.rs
@@ -227,7 +227,8 @@
         self.update_cut_off(now, actions);
     }
 
-    /// Detects that this process did not run for a while and extends all timeouts by the pause.
+    /// Detects that this process did not run for a while. Drops the open probes, and extends the
+    /// suspicions and the times of the last contact by the pause.
     ///
     /// Missing acks say nothing about the other hosts when this process could not receive them.
     fn detect_pause(&mut self, now: Millis) {
@@ -340,8 +341,8 @@
         }
     }
 
-    /// Picks hosts to probe `host` indirectly. At least one is in another data centre if any is
-    /// known, since its network path differs.
+    /// Picks hosts to probe `host` indirectly. At least one is in another data centre if an alive
+    /// one is known there, since its network path differs.
     fn proxies(&self, host: &HostName, rng: &mut impl Rng) -> Vec<MemberRecord> {
         let alive = |record: &&MemberRecord| record.health == Health::Alive;
         let local = self.table.local().filter(alive);
@@ -358,7 +359,7 @@
         local
     }
 
-    /// Sends a change of the local host's record at once instead of with the next probes.
+    /// Sends a change of the local host's record at once, without waiting for the next probes.
     fn announce(&mut self, now: Millis, rng: &mut impl Rng, actions: &mut Vec<MembershipAction>) {
         self.own.version += 1;
         self.queue.push_host(&self.own.host.clone());
--- a/crates/godwitspool-process/src/membership/queue.rs
+++ b/crates/godwitspool-process/src/membership/queue.rs
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Takes rumors for a datagram, least sent first. They use at most half of the room, so that
-    /// host records are not crowded out.
+    /// Takes rumors for a datagram, least sent first, and reduces `room` by their size. They use at
+    /// most half of it; the rest is left for host records.
     pub fn take_rumors(&mut self, room: &mut usize, max_sends: u32, now: Millis) -> Vec<Rumor> {
         let min_room = *room / 2;
         self.rumors
--- a/crates/godwitspool-process/src/membership/remote.rs
+++ b/crates/godwitspool-process/src/membership/remote.rs
@@ -120,8 +120,8 @@
         self.fill_after = last.or_else(|| self.fill_after.take());
     }
 
-    /// Returns the relays: the live hosts with the lowest ranks in the local data centre. They
-    /// alone probe other data centres.
+    /// Returns the relays: the alive hosts with the lowest ranks in the local data centre. Only
+    /// they send the periodic probes to other data centres.
     fn relays(&self) -> Vec<MemberRecord> {
         let local = self
             .table
--- a/crates/godwitspool-process/src/membership/rules.rs
+++ b/crates/godwitspool-process/src/membership/rules.rs
@@ -9,7 +9,8 @@
     pub probe_interval: Millis,
     /// Time to wait for an ack before other hosts are asked to probe indirectly.
     pub ack_timeout: Millis,
-    /// Number of hosts asked for an indirect probe.
+    /// Number of local hosts asked for an indirect probe. One host of another data centre is asked
+    /// too, or more if there are fewer local hosts.
     pub proxies: usize,
     /// Probe intervals from suspicion to down; one more is added for each doubling of hosts.
     pub suspicion_periods: u32,
@@ -45,9 +46,8 @@
         Millis(self.probe_interval.0 * (u64::from(self.suspicion_periods) + doublings))
     }
 
-    /// Returns how often a host sends an update in a data centre with a number of hosts.
-    ///
-    /// The number grows with the logarithm of the hosts, as the rounds that gossip needs do.
+    /// Returns how often a host sends an update in a data centre with a number of hosts. It grows
+    /// with the logarithm of that number.
     pub fn max_sends(&self, hosts: usize) -> u32 {
         const SENDS_PER_DOUBLING: u32 = 3;
         SENDS_PER_DOUBLING * (hosts.max(1).ilog2() + 1)
--- a/crates/godwitspool-process/src/metrics.rs
+++ b/crates/godwitspool-process/src/metrics.rs
@@ -73,10 +73,11 @@
     /// Registers counters that are kept elsewhere; `read` is called for each [`Metrics::text`].
     ///
     /// ```
-    /// use godwitspool_process::{Metrics, CounterSample};
+    /// use godwitspool_process::{CounterSample, Metrics};
     ///
     /// let metrics = Metrics::default();
-    /// metrics.register_counters(|| vec![CounterSample { name: "pauses", help: "Pauses noticed", value: 3 }]);
+    /// let pauses = CounterSample { name: "pauses", help: "Pauses noticed", value: 3 };
+    /// metrics.register_counters(move || vec![pauses]);
     /// assert!(metrics.text().contains("godwitspool_pauses_total 3"));
     /// ```
     pub fn register_counters(&self, read: impl Fn() -> Vec<CounterSample> + Send + Sync + 'static) {
--- a/crates/godwitspool-process/src/operator_http.rs
+++ b/crates/godwitspool-process/src/operator_http.rs
@@ -19,9 +19,9 @@
 /// Whether a daemon is ready to serve.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Readiness {
-    /// The daemon is not ready, with the reason. `/readyz` answers with status 503.
+    /// The daemon is not ready, with the reason. `/readyz` responds with status 503.
     NotReady(String),
-    /// The daemon is ready. `/readyz` answers with status 200.
+    /// The daemon is ready. `/readyz` responds with status 200.
     Ready,
 }
 
--- a/crates/godwitspool-process/src/program.rs
+++ b/crates/godwitspool-process/src/program.rs
@@ -28,7 +28,8 @@
 impl Program {
     /// Parses the command line, loads the settings with `load` and runs `serve` with them.
     ///
-    /// All findings are printed and the exit status is 2 if there are any. It is 1 if `serve` fails.
+    /// All findings are printed. The exit status is 2 if there are any or the command line is
+    /// wrong, and 1 if `serve` fails.
     pub fn run<S>(
         &self,
         load: impl Fn(&Path) -> Result<S, Findings>,
--- a/crates/godwitspool-process/src/settings/steward.rs
+++ b/crates/godwitspool-process/src/settings/steward.rs
@@ -235,7 +235,7 @@
             continue;
         };
         if peers.iter().any(|other| other.host == peer.host) {
-            let message = format!("host {} stands twice among the peers", peer.host);
+            let message = format!("host {} is listed twice among the peers", peer.host);
             fields.report(&node.place, message);
         }
         peers.push(peer);
--- a/crates/godwitspool-process/src/yaml/fields.rs
+++ b/crates/godwitspool-process/src/yaml/fields.rs
@@ -37,7 +37,7 @@
     fn add_entry(&mut self, entry: &'a Entry) {
         if let Some(first) = self.entries.iter().find(|e| e.key == entry.key) {
             let line = first.place.line;
-            let message = format!("{} stands twice, first in line {line}", entry.key);
+            let message = format!("{} appears twice, first in line {line}", entry.key);
             self.report(&entry.place, message);
         } else {
             self.entries.push(entry);
--- a/crates/godwitspool-process/tests/folder.rs
+++ b/crates/godwitspool-process/tests/folder.rs
@@ -207,7 +207,7 @@
 )]
 #[case::twice(
     "party: shop\nservices: {a: {kind: plain}, a: {kind: plain}}",
-    "2.yaml:2:30: a stands twice, first in line 2"
+    "2.yaml:2:30: a appears twice, first in line 2"
 )]
 #[case::floor(
     "dcs: {nyarugenge: {floor: {studio/reserved: 3}}}",
--- a/crates/godwitspool-process/tests/gossip.rs
+++ b/crates/godwitspool-process/tests/gossip.rs
@@ -16,7 +16,7 @@
 };
 use godwitspool_types::{Incarnation, Offset};
 
-const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Host {
     address: SocketAddr,
@@ -76,7 +76,7 @@
     let start = Instant::now();
     while !condition() {
         assert!(
-            start.elapsed() < TEST_TIMEOUT,
+            start.elapsed() < WAIT_TIMEOUT,
             "timed out waiting for: {what}"
         );
         thread::sleep(Duration::from_millis(5));
@@ -116,7 +116,7 @@
         });
         wait_until("hints", || host.gossip.hints().end == Offset(9));
         let is_rumor = |event| event == GossipEvent::NewRumor(RumorBody::Quarantined(7));
-        while !is_rumor(host.events.recv_timeout(TEST_TIMEOUT).unwrap()) {}
+        while !is_rumor(host.events.recv_timeout(WAIT_TIMEOUT).unwrap()) {}
     }
 }
 
--- a/crates/godwitspool-process/tests/log_reader.rs
+++ b/crates/godwitspool-process/tests/log_reader.rs
@@ -30,7 +30,7 @@
 use godwitspool_types::{Incarnation, Millis, Offset};
 use godwitspool_version::{Change, Fold, Record, RecordBody, snapshot_records};
 
-const TEST_TIMEOUT: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// The platform as one host reaches it; a test can make its reads fail by closing the gate.
 struct Gated {
@@ -190,7 +190,7 @@
     let start = Instant::now();
     while !condition() {
         assert!(
-            start.elapsed() < TEST_TIMEOUT,
+            start.elapsed() < WAIT_TIMEOUT,
             "timed out waiting for: {what}"
         );
         thread::sleep(Duration::from_millis(5));
@@ -210,7 +210,7 @@
         if readers.len() == 2 {
             return readers;
         }
-        assert!(start.elapsed() < TEST_TIMEOUT, "readers {readers:?}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "readers {readers:?}");
     }
 }
 
@@ -243,7 +243,7 @@
     let host = Host::start(1, "gori", &platform);
     let mut seen = Vec::new();
     while seen.len() < 2 {
-        if let LogEvent::Applied(applied) = host.events.recv_timeout(TEST_TIMEOUT).unwrap() {
+        if let LogEvent::Applied(applied) = host.events.recv_timeout(WAIT_TIMEOUT).unwrap() {
             seen.extend(
                 applied
                     .into_iter()
@@ -259,7 +259,7 @@
         ]
     );
     let is_confirmed = |event| matches!(event, LogEvent::Confirmed(_));
-    while !is_confirmed(host.events.recv_timeout(TEST_TIMEOUT).unwrap()) {}
+    while !is_confirmed(host.events.recv_timeout(WAIT_TIMEOUT).unwrap()) {}
 }
 
 #[test]
--- a/crates/godwitspool-process/tests/operator_http.rs
+++ b/crates/godwitspool-process/tests/operator_http.rs
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use socket2::SockRef;
 
-const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Daemon(Readiness);
 
@@ -48,12 +48,12 @@
 
 fn send_request(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let text = format!("{request} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     stream.write_all(text.as_bytes()).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
 
 #[rstest]
@@ -71,21 +71,21 @@
 #[case("DELETE /status", 405, "method DELETE is not served")]
 fn pages_answer(#[case] request: &str, #[case] status: u16, #[case] expected: &str) {
     let http = start(TcpListener::bind("127.0.0.1:0").unwrap(), Readiness::Ready);
-    let answer = send_request(http.address(), request);
+    let response = send_request(http.address(), request);
     assert!(
-        answer.starts_with(&format!("HTTP/1.1 {status} ")),
-        "{answer}"
+        response.starts_with(&format!("HTTP/1.1 {status} ")),
+        "{response}"
     );
-    assert!(answer.contains(expected), "{answer}");
+    assert!(response.contains(expected), "{response}");
 }
 
 #[test]
 fn a_daemon_that_is_not_ready_says_why() {
     let reason = Readiness::NotReady("no configuration found".to_owned());
     let http = start(TcpListener::bind("127.0.0.1:0").unwrap(), reason);
-    let answer = send_request(http.address(), "GET /readyz");
-    assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
-    assert!(answer.contains("no configuration found"), "{answer}");
+    let response = send_request(http.address(), "GET /readyz");
+    assert!(response.starts_with("HTTP/1.1 503 "), "{response}");
+    assert!(response.contains("no configuration found"), "{response}");
     assert!(send_request(http.address(), "GET /healthz").starts_with("HTTP/1.1 200 "));
 }
 
@@ -111,12 +111,12 @@
     });
     let start = Instant::now();
     while listener.reopened() < 3 {
-        assert!(start.elapsed() < TEST_TIMEOUT);
+        assert!(start.elapsed() < WAIT_TIMEOUT);
         thread::sleep(Duration::from_millis(5));
     }
     for path in ["/a", "/b"] {
         assert!(send_request(listener.address(), &format!("GET {path}")).contains("ok"));
-        assert_eq!(seen.recv_timeout(TEST_TIMEOUT).unwrap(), path);
+        assert_eq!(seen.recv_timeout(WAIT_TIMEOUT).unwrap(), path);
     }
     listener.stop();
     server.join().unwrap();
@@ -140,7 +140,7 @@
 fn malformed_requests_do_not_block_others(#[case] text: &str) {
     let http = start(TcpListener::bind("127.0.0.1:0").unwrap(), Readiness::Ready);
     let mut stream = TcpStream::connect(http.address()).unwrap();
-    stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
+    stream.set_write_timeout(Some(WAIT_TIMEOUT)).unwrap();
     drop(stream.write_all(text.as_bytes()));
     assert!(send_request(http.address(), "GET /status").contains("nyarugenge-1"));
 }
@@ -152,7 +152,7 @@
     http.stop();
     let start = Instant::now();
     while TcpListener::bind(address).is_err() {
-        assert!(start.elapsed() < TEST_TIMEOUT);
+        assert!(start.elapsed() < WAIT_TIMEOUT);
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/godwitspool-process/tests/settings.rs
+++ b/crates/godwitspool-process/tests/settings.rs
@@ -50,7 +50,7 @@
     "body_bytes: 3s",
     "e.yaml:9:13: body_bytes is \"3s\", expected a whole number"
 )]
-#[case::twice("dc: kicukiro", "e.yaml:9:1: dc stands twice, first in line 2")]
+#[case::twice("dc: kicukiro", "e.yaml:9:1: dc appears twice, first in line 2")]
 fn a_wrong_additional_line_is_a_finding_with_its_place(#[case] line: &str, #[case] expected: &str) {
     let findings = EntrySettings::parse("e.yaml", &format!("{ENTRY}{line}\n")).unwrap_err();
     assert_eq!(findings.len(), 1, "{findings}");
@@ -102,7 +102,7 @@
     assert!(
         findings
             .to_string()
-            .contains("s.yaml:9:5: host kicukiro-1 stands twice"),
+            .contains("s.yaml:9:5: host kicukiro-1 is listed twice"),
         "{findings}"
     );
 }
