--- a/crates/godwitspool-steward/src/lib.rs
+++ b/crates/godwitspool-steward/src/lib.rs
@@ -1,9 +1,9 @@
 //! The steward daemon: leases, target orders, usage windows, weight rollout and configuration
 //! snapshots.
 //!
-//! A [`Steward`] runs on every entry host. It folds the platform's log, polls the platform's lists of
-//! targets and hosts, and serves entries the [`View`](godwitspool_connection::messages::View) that
-//! they route requests by.
+//! A [`Steward`] runs on every entry host. It folds the platform's log, polls the platform's lists
+//! of targets and hosts, and serves entries the [`View`](godwitspool_connection::messages::View)
+//! that they route requests by.
 //!
 //! | module | lifetime of its state |
 //! |---|---|
--- a/crates/godwitspool-steward/src/main.rs
+++ b/crates/godwitspool-steward/src/main.rs
@@ -11,7 +11,7 @@
 Folds the platform's log, serves entries their view and competes for the leases.
 SIGTERM releases the leases and stops the steward.
 
-  --check     checks the settings and exits, with status 2 if they have errors
+  --check     checks the settings and exits, with status 2 if there are findings
   --help
   --version";
 
--- a/crates/godwitspool-steward/src/process/shared.rs
+++ b/crates/godwitspool-steward/src/process/shared.rs
@@ -22,7 +22,7 @@
     version::{current_view::CurrentView, leases::Leases},
 };
 
-const PEER_TIMEOUT: Millis = Millis(500);
+const PEER_ANSWER_TIMEOUT: Millis = Millis(500);
 /// Number of links to other stewards at which all are closed before another one is opened.
 const MAX_LINKS: usize = 64;
 
@@ -124,8 +124,8 @@
         self.append_record(Record::new(body));
     }
 
-    /// Queues a record for the log. It keeps its identity. If the queue is full, the record is dropped
-    /// and counted.
+    /// Queues a record for the log. It keeps its identity. If the queue is full, the record is
+    /// dropped and counted.
     pub(crate) fn append_record(&self, record: Record) {
         if !self.outbox.offer(record) {
             self.counts.append_errors.count("queue-full");
@@ -146,7 +146,7 @@
         if links.len() >= MAX_LINKS && !links.contains_key(&address) {
             links.clear();
         }
-        let bounds = LinkBounds::default().with_answer_timeout(PEER_TIMEOUT);
+        let bounds = LinkBounds::default().with_answer_timeout(PEER_ANSWER_TIMEOUT);
         let link = links
             .entry(address)
             .or_insert_with(|| Arc::new(Link::new(address, bounds)));
--- a/crates/godwitspool-steward/src/process/steward.rs
+++ b/crates/godwitspool-steward/src/process/steward.rs
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     ///
-    /// If an address can't be bound or a thread can't be started.
+    /// Fails if an address can't be bound or a thread can't be started.
     pub fn start(settings: StewardSettings) -> io::Result<Self> {
         let (listener, socket) = bind(settings.steward)?;
         let address = listener.local_addr()?;
@@ -219,7 +219,7 @@
 }
 
 /// Returns the start time in milliseconds since 1970, which is higher than in earlier runs on this
-/// host.
+/// host unless its clock was set back.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     Incarnation(since.map_or(0, |since| since.as_millis() as u64))
--- a/crates/godwitspool-steward/src/version/current_view.rs
+++ b/crates/godwitspool-steward/src/version/current_view.rs
@@ -61,7 +61,8 @@
         self.lock().view.targets.clone()
     }
 
-    /// Records that the fold included all of the log `age` ago. The first call makes the view available.
+    /// Records that the fold included all of the log `age` ago. The first call makes the view
+    /// available.
     pub(crate) fn confirm(&self, age: godwitspool_types::Millis) {
         let mut inner = self.lock();
         if inner.confirmed.is_none() {
@@ -71,8 +72,8 @@
         inner.confirmed = Instant::now().checked_sub(age.duration());
     }
 
-    /// Returns the time since the fold was last known to include all of the log, or `None` if it never
-    /// was.
+    /// Returns the time since the fold was last known to include all of the log, or `None` if it
+    /// never was.
     pub(crate) fn age(&self) -> Option<Duration> {
         self.lock().confirmed.map(|at| at.elapsed())
     }
@@ -95,7 +96,8 @@
         })
     }
 
-    /// Applies a change, and increments the revision and wakes the waiting threads if the view differs.
+    /// Applies a change, and increments the revision and wakes the waiting threads if the view
+    /// differs.
     fn update(&self, change: impl FnOnce(&mut Inner)) {
         let mut inner = self.lock();
         let before = inner.view.clone();
--- a/crates/godwitspool-steward/src/version/leases.rs
+++ b/crates/godwitspool-steward/src/version/leases.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Returns the term if this host may act under the lease now. Call it immediately before acting.
+    /// Returns the term if this host may act under the lease now. Callers must call this
+    /// immediately before they act.
     pub(crate) fn may_act(&self, kind: LeaseKind) -> Option<Term> {
         let candidates = lock(&self.candidates);
         // Reads the clock after taking the lock, because waiting for the lock takes time.
--- a/crates/godwitspool-steward/src/version/usage.rs
+++ b/crates/godwitspool-steward/src/version/usage.rs
@@ -21,7 +21,7 @@
 use crate::process::shared::{Shared, lock};
 
 /// Number of other hosts to which a usage record is copied before the entry ends its answer.
-const REMOTE_COPIES: usize = 2;
+const PEER_COPIES: usize = 2;
 /// Time after a window's end in which its last records may still arrive.
 const WINDOW_GRACE: Duration = Duration::from_millis(500);
 /// Time between attempts to seal, freeze and report windows.
@@ -65,7 +65,7 @@
             Ok(StewardAnswer::Done) => copies += 1,
             Ok(_) | Err(_) => shared.counts.usage.count("copy-failed"),
         }
-        if copies == REMOTE_COPIES {
+        if copies == PEER_COPIES {
             return;
         }
     }
@@ -96,10 +96,10 @@
     let mut others = shared.gossip.members();
     others.retain(|member| member.host != shared.settings.host && !member.leaving);
     others.sort_by_key(|member| pair_hash(&shared.settings.host, &member.host));
-    let is_near = |member: &&Member| member.dc == shared.settings.dc;
-    let near = others.iter().position(|member| is_near(&member));
-    let far = others.iter().position(|member| !is_near(&member));
-    let first = [near, far].into_iter().flatten().collect::<Vec<_>>();
+    let is_local = |member: &&Member| member.dc == shared.settings.dc;
+    let local = others.iter().position(|member| is_local(&member));
+    let remote = others.iter().position(|member| !is_local(&member));
+    let first = [local, remote].into_iter().flatten().collect::<Vec<_>>();
     let rest = (0..others.len()).filter(|index| !first.contains(index));
     first
         .iter()
@@ -109,7 +109,8 @@
         .collect()
 }
 
-/// Gives each host another order of the other hosts, which spreads the copies.
+/// Returns a sort key that gives each host its own order of the other hosts, which spreads the
+/// copies.
 fn pair_hash(one: &HostName, other: &HostName) -> u64 {
     rapidhash_v3(format!("{one}/{other}").as_bytes())
 }
@@ -148,23 +149,24 @@
     shared.append(RecordBody::UsageSeal(seal));
 }
 
-/// Returns whether this host seals for its data centre: the one whose name has the lowest hash does.
-/// If the hosts' member lists differ, two may seal; only the first seal in the log takes effect.
+/// Returns whether this host seals for its data centre: the host whose name has the lowest hash
+/// does. If the hosts' member lists differ, two may seal; only the first seal in the log takes
+/// effect.
 fn is_sealer(shared: &Shared, members: &[Member]) -> bool {
     let dc = &shared.settings.dc;
-    let near = members
+    let local = members
         .iter()
         .filter(|member| member.dc == *dc && !member.leaving);
-    let first = near.min_by_key(|member| rapidhash_v3(member.host.as_str().as_bytes()));
+    let first = local.min_by_key(|member| rapidhash_v3(member.host.as_str().as_bytes()));
     first.is_some_and(|member| member.host == shared.settings.host)
 }
 
 /// Copies the records that the other hosts of the data centre hold to this host.
 fn gather(shared: &Shared, members: &[Member]) {
-    let near = members
+    let local = members
         .iter()
         .filter(|member| member.dc == shared.settings.dc && member.host != shared.settings.host);
-    for member in near {
+    for member in local {
         match shared.ask(member.steward, &StewardRequest::HeldUsage) {
             Ok(StewardAnswer::Usage(records)) => store(shared, &records),
             Ok(_) | Err(_) => shared.counts.usage.count("not-gathered"),
--- a/crates/godwitspool-steward/src/version/weights.rs
+++ b/crates/godwitspool-steward/src/version/weights.rs
@@ -159,7 +159,8 @@
     }
 }
 
-/// Orders a target to swap its weights if this host still holds the lease. Returns `None` otherwise.
+/// Orders a target to swap its weights if this host still holds the lease. Returns `None`
+/// otherwise.
 fn swap(
     shared: &Shared,
     client: &TargetClient,
--- a/crates/godwitspool-steward/tests/support/mod.rs
+++ b/crates/godwitspool-steward/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform with one class of targets, and checks on its history.
+//! A fake platform with one class of targets, and checks on its history.
 
 #![expect(clippy::unwrap_used, reason = "a failed setup fails the test")]
 
@@ -22,7 +22,7 @@
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Publishes a whole configuration and returns the offset of its record.
+/// Publishes a complete configuration and returns the offset of its record.
 pub fn publish(platform: &Platform, base: Option<Offset>, new: &Configuration) -> Offset {
     let change = ConfigurationChange::between(&Configuration::default(), new);
     let publish = Publish {
@@ -98,8 +98,8 @@
         .collect()
 }
 
-/// Asserts that the terms of the orders never decrease and that no two hosts sent orders under the same
-/// term.
+/// Asserts that the terms of the orders never decrease and that no two hosts sent orders under the
+/// same term.
 pub fn check_orders(platform: &Platform) {
     let orders = orders(platform);
     for pair in orders.windows(2) {
