--- a/crates/godwitspool-connection/src/call_error.rs
+++ b/crates/godwitspool-connection/src/call_error.rs
@@ -22,7 +22,7 @@
     /// The target sent no byte within the idle timeout.
     #[snafu(display("no byte received within the idle timeout of {idle}"))]
     Silent {
-        /// The idle timeout.
+        /// The idle timeout that expired.
         idle: Millis,
     },
     /// The target answered with an error status.
--- a/crates/godwitspool-connection/src/http.rs
+++ b/crates/godwitspool-connection/src/http.rs
@@ -84,8 +84,8 @@
 ///
 /// # Errors
 ///
-/// Every call returns a [`PlatformError`], which distinguishes an outage, a refusal and an unknown
-/// outcome.
+/// Every call returns a [`PlatformError`], which distinguishes an outage, a refusal, a withheld
+/// request and an unknown outcome.
 #[expect(clippy::missing_errors_doc, reason = "documented once on the trait")]
 pub trait PlatformApi: Send + Sync {
     /// Appends records to the log atomically: all or none.
--- a/crates/godwitspool-connection/src/messages.rs
+++ b/crates/godwitspool-connection/src/messages.rs
@@ -102,7 +102,7 @@
     pub offset: Offset,
     /// Number of changes of this steward's view so far.
     pub revision: u64,
-    /// The known targets.
+    /// Targets in the platform's list; one that an open order is to stop is shown as leaving.
     pub targets: Vec<TargetEntry>,
 }
 
@@ -111,7 +111,7 @@
 pub struct Member {
     /// Name of the host.
     pub host: HostName,
-    /// Data centre.
+    /// Data centre of the host.
     pub dc: Dc,
     /// Address at which other entries call its entry.
     pub entry: SocketAddr,
--- a/crates/godwitspool-connection/src/messages/rollout.rs
+++ b/crates/godwitspool-connection/src/messages/rollout.rs
@@ -22,7 +22,7 @@
         from: HostName,
         /// Trainer whose steps the message is about.
         trainer: TrainerName,
-        /// The message.
+        /// Message for the host that receives the request.
         message: PeerMessage,
     },
 }
--- a/crates/godwitspool-connection/src/messages/serving.rs
+++ b/crates/godwitspool-connection/src/messages/serving.rs
@@ -52,9 +52,9 @@
         arrived: u32,
         /// Host that asks.
         host: HostName,
-        /// Requests in progress.
+        /// Requests of the workspace in progress on that host.
         running: u32,
-        /// Workspace.
+        /// Workspace whose limits are asked for.
         workspace: Workspace,
     },
     /// Reports the load of targets.
@@ -98,7 +98,7 @@
 pub struct KeyName {
     /// Key as the caller sent it.
     pub key: String,
-    /// Workspace.
+    /// Workspace to which the key belongs.
     pub workspace: Workspace,
 }
 
--- a/crates/godwitspool-connection/src/peer/link.rs
+++ b/crates/godwitspool-connection/src/peer/link.rs
@@ -91,7 +91,7 @@
     Timeout {
         /// Address of the server.
         address: SocketAddr,
-        /// The timeout.
+        /// The timeout that expired.
         timeout: Millis,
     },
     /// The connection closed before the answer arrived.
--- a/crates/godwitspool-connection/src/plain_call.rs
+++ b/crates/godwitspool-connection/src/plain_call.rs
@@ -47,7 +47,7 @@
     pub headers: Vec<Header>,
     /// Whether the call may run twice without harm.
     pub idempotent: bool,
-    /// HTTP method.
+    /// HTTP method, such as `GET`.
     pub method: String,
     /// Path and query string.
     pub path: String,
--- a/crates/godwitspool-connection/src/platform.rs
+++ b/crates/godwitspool-connection/src/platform.rs
@@ -55,7 +55,7 @@
 /// The platform's list of hosts, which lags behind the true state.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct HostList {
-    /// The hosts.
+    /// One entry per host.
     pub hosts: Vec<HostEntry>,
 }
 
@@ -64,7 +64,7 @@
 pub struct HostEntry {
     /// Address of the host.
     pub address: IpAddr,
-    /// Data centre.
+    /// Data centre of the host.
     pub dc: Dc,
     /// TCP port for calls from other entries.
     pub entry_port: u16,
@@ -79,7 +79,7 @@
 /// The platform's list of targets, which lags behind the true state.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct TargetList {
-    /// The targets.
+    /// One entry per target.
     pub targets: Vec<TargetEntry>,
 }
 
@@ -90,7 +90,7 @@
     pub address: std::net::SocketAddr,
     /// Class, which sets price, start time and reclaimability.
     pub class: ClassName,
-    /// Data centre.
+    /// Data centre of the target.
     pub dc: Dc,
     /// Model that the target serves; empty for plain services.
     pub model: ModelName,
@@ -123,7 +123,7 @@
     pub action: OrderAction,
     /// Class of the targets.
     pub class: ClassName,
-    /// Data centre.
+    /// Data centre of the targets.
     pub dc: Dc,
     /// Name of the host that sends the order, for the platform's audit log.
     pub host: HostName,
@@ -171,7 +171,7 @@
 /// Usage of a service by a workspace within a window.
 #[derive(Clone, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct UsageRow {
-    /// Workspace.
+    /// Workspace that is charged.
     pub workspace: Workspace,
     /// Qualified name of the service.
     pub service: ServiceName,
