--- a/crates/godwitspool-process/src/log_reader.rs
+++ b/crates/godwitspool-process/src/log_reader.rs
@@ -4,7 +4,8 @@
 //! them, so that the load on the platform doesn't grow with the number of hosts. When a source
 //! fails, the host tries the next one: the other reader, the platform, or a host of another data
 //! centre. A new host starts from a peer's snapshot, or from a snapshot in the log. It is not ready
-//! until it has caught up with the highest offset that any peer is known to have applied.
+//! until it has caught up with the platform's log, or with the highest offset that any peer is
+//! known to have applied.
 //!
 //! [`ReadPlan`] does no I/O; [`LogReader`] performs its requests.
 
--- a/crates/godwitspool-process/tests/log_reader.rs
+++ b/crates/godwitspool-process/tests/log_reader.rs
@@ -324,15 +324,15 @@
 #[test]
 fn a_cut_off_data_centre_reads_from_another() {
     let platform = platform(1_000);
-    let near = Host::start_gated(1, "gori", &platform, false);
-    let far = Host::start(2, "tbilisi", &platform);
-    introduce(&[&near, &far]);
+    let cut_off = Host::start_gated(1, "gori", &platform, false);
+    let connected = Host::start(2, "tbilisi", &platform);
+    introduce(&[&cut_off, &connected]);
     append(&platform, 1);
     wait_until("first record", || {
-        near.is_ready() && near.next() == Offset(1)
+        cut_off.is_ready() && cut_off.next() == Offset(1)
     });
     append(&platform, 2);
-    wait_until("second record", || near.next() == Offset(2));
+    wait_until("second record", || cut_off.next() == Offset(2));
 }
 
 #[test]
