--- a/crates/godwitspool-steward/src/connection/answers.rs
+++ b/crates/godwitspool-steward/src/connection/answers.rs
@@ -15,7 +15,7 @@
 /// Longest time that a request for the log's next records waits for one.
 const MAX_TAIL_WAIT: Millis = Millis(1_000);
 
-/// Answers one request.
+/// Answers one request. A view or tail request may block for up to a second.
 pub(crate) fn answer(shared: &Arc<Shared>, request: StewardRequest) -> StewardAnswer {
     match request {
         StewardRequest::View(known) => match shared.current_view.wait(known, MAX_VIEW_WAIT) {
