--- a/crates/godwitspool-connection/src/call_error.rs
+++ b/crates/godwitspool-connection/src/call_error.rs
@@ -22,7 +22,7 @@
     /// The target sent no byte within the idle timeout.
     #[snafu(display("no byte received within the idle timeout of {idle}"))]
     Silent {
-        /// The idle timeout.
+        /// The idle timeout that expired.
         idle: Millis,
     },
     /// The target answered with an error status.
@@ -32,7 +32,7 @@
         status: u16,
         /// Seconds of `Retry-After`; `None` without the header or when it holds a date.
         retry_after: Option<u64>,
-        /// Body of the answer; empty when it is longer than 512 bytes or not UTF-8.
+        /// Body of the response; empty when it is longer than 512 bytes or not UTF-8.
         message: String,
     },
     /// The answer is not valid in the protocol.
--- a/crates/godwitspool-connection/src/plain_call.rs
+++ b/crates/godwitspool-connection/src/plain_call.rs
@@ -34,7 +34,7 @@
 pub struct Header {
     /// Name, in lower case.
     pub name: String,
-    /// Value, as UTF-8.
+    /// Value; response headers whose value isn't visible ASCII are dropped.
     pub value: String,
 }
 
@@ -47,7 +47,7 @@
     pub headers: Vec<Header>,
     /// Whether the call may run twice without harm.
     pub idempotent: bool,
-    /// HTTP method.
+    /// HTTP method, such as `GET`.
     pub method: String,
     /// Path and query string.
     pub path: String,
@@ -76,7 +76,7 @@
 /// The answer of a plain service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlainAnswer {
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Vec<u8>,
     /// Headers that are forwarded to the caller.
     pub headers: Vec<Header>,
