--- a/crates/godwitspool-cli/src/command.rs
+++ b/crates/godwitspool-cli/src/command.rs
@@ -13,23 +13,23 @@
 pub(crate) const HELP: &str = "\
 godwitspool COMMAND
 
-  check DIR                   checks an operators' folder and says which file won over whom
-  publish DIR [--dry-run]     puts a folder in force, or shows the difference to what is in force
+  check DIR                   checks an operators' folder and shows which settings override others
+  publish DIR [--dry-run]     publishes a folder, or only shows the difference to what is in force
   key issue WORKSPACE         issues a key and shows it once
   key withdraw DIGEST         withdraws a key by its digest, for good
   status                      what is in force: leases, orders, windows; and each daemon's state
   explain SUBJECT             what daemons know of a request, target or sample
-  explain ID FILE...          what hosts' log lines tell of a request, batch, item, target, epoch
-                              or usage window, in order, clocks put right
+  explain ID FILE...          merges hosts' log lines about a request, batch, item, target, epoch
+                              or usage window in order of time, with the clocks corrected
   usage                       usage windows: open, sealed, frozen, reported
-  quarantine list             requests that are kept off all targets
+  quarantine list             fingerprints whose requests run on no target
   quarantine lift FINGERPRINT lets requests of a fingerprint run again
   drain                       asks daemons to take no new work
 
-  --platform URL      the platform, for what reads or writes its log
+  --platform URL      the platform, for commands that read or write its log
   --steward IP:PORT   a steward to read from in place of the platform's log
-  --daemon IP:PORT    a daemon's operators' address; may be given several times
-  --by NAME           who publishes
+  --daemon IP:PORT    the operator address of a daemon; may be given several times
+  --by NAME           name of the operator who publishes; \"operator\" by default
   --help, --version
 
 Exit status: 0 done, 1 failed, 2 findings in the folder or on the command line.";
--- a/crates/godwitspool-cli/src/timeline.rs
+++ b/crates/godwitspool-cli/src/timeline.rs
@@ -214,7 +214,7 @@
     Ok(())
 }
 
-/// Reads the lines of a file and skips those that are no log line of a host.
+/// Reads the lines of a file and skips those that aren't log lines of a host.
 fn read_lines(path: &Path, mut visit: impl FnMut(LogLine)) -> Result<(), CliError> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     let mut host: Arc<str> = Arc::from(&*name);
--- a/crates/godwitspool-cli/src/timeline/log_line.rs
+++ b/crates/godwitspool-cli/src/timeline/log_line.rs
@@ -16,9 +16,8 @@
 }
 
 impl LogLine {
-    /// Parses a line. A collector may have added a prefix whose last word is the host's name.
-    /// Without a prefix and a `host` field, the line is of `host`. Returns `None` if the text has
-    /// no log line.
+    /// Parses a line. The host is that of the `host` field, else the last word of a prefix that a
+    /// collector may have added, else `host`. Returns `None` if the text has no log line.
     pub(crate) fn read(text: &str, host: &Arc<str>) -> Option<Self> {
         let start = text.find("time=")?;
         let prefix = text[..start].split_whitespace().next_back();
--- a/crates/godwitspool-cli/tests/cli.rs
+++ b/crates/godwitspool-cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line against the stand-in platform and the operator pages of daemons.
+//! The command line against the fake platform and the operator pages of daemons.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
