--- a/crates/godwitspool-history/src/check/answers.rs
+++ b/crates/godwitspool-history/src/check/answers.rs
@@ -9,7 +9,7 @@
 /// Reasons that an entry gives when a request failed on too many targets.
 const TARGET_FAILURE_REASONS: [&str; 2] = ["quarantined", "retries-spent"];
 
-/// A caller gets the whole answer to its own request.
+/// An answer that ends as complete is complete and belongs to the caller's request.
 pub(crate) fn whole(history: &History) -> Vec<Violation> {
     let broken = history.lines().iter().filter_map(|line| {
         let answer = match &line.event {
@@ -45,8 +45,8 @@
         let Some(refusal) = refusal else {
             continue;
         };
-        // A caller may send the same request several times. Only runs before the next sending
-        // count.
+        // A caller may send the same request several times, and another sending may have run. Only
+        // runs between this sending and the next one count.
         let ran = index.received_after(*work, sent.at);
         if !ran.is_empty() {
             let lines = [*sent, *refusal].into_iter().chain(ran.iter().copied());
--- a/crates/godwitspool-history/src/check/samples.rs
+++ b/crates/godwitspool-history/src/check/samples.rs
@@ -195,7 +195,7 @@
     violations
 }
 
-/// Returns a violation for each sample of a step that a fetch of its whole batch didn't deliver.
+/// Returns a violation for each sample of a step that a fetch of its complete batch didn't deliver.
 fn missing<'a>(
     line: &'a Line,
     submitted: Option<&(&'a Line, &'a Vec<crate::Group>)>,
--- a/crates/godwitspool-history/src/event.rs
+++ b/crates/godwitspool-history/src/event.rs
@@ -137,7 +137,7 @@
     },
     /// A trainer started to fetch the batch of a step.
     Fetching {
-        /// Number of the fetch, counted by trainer.
+        /// Number of the fetch, unique for the trainer.
         fetch: u64,
         /// Number of the step.
         step: u64,
--- a/crates/godwitspool-history/tests/common/mod.rs
+++ b/crates/godwitspool-history/tests/common/mod.rs
@@ -38,7 +38,7 @@
     sent_with(request, Some("k"))
 }
 
-/// Returns the same call with another key.
+/// Returns the same call with the key of this name, or without a key.
 pub fn sent_with(request: u128, key_name: Option<&str>) -> Event {
     Event::Sent {
         host: "h".into(),
