--- a/crates/godwitspool-fakes/src/engine.rs
+++ b/crates/godwitspool-fakes/src/engine.rs
@@ -215,7 +215,7 @@
 }
 
 impl Shared {
-    /// Ends all streams and ignores new requests.
+    /// Ends all streams and runs no new requests.
     pub(crate) fn crash(&self) {
         let mut state = lock(&self.state);
         if state.crashed {
--- a/crates/godwitspool-fakes/src/relay.rs
+++ b/crates/godwitspool-fakes/src/relay.rs
@@ -128,7 +128,7 @@
     }
 
     /// Holds responses back while set and delivers them afterwards. Requests are relayed without
-    /// delay, so the upstream never receives a request that was sent earlier.
+    /// delay, so the upstream receives each one when it is sent.
     pub fn set_held(&self, on: bool) {
         *lock(&self.shared.held) = on;
         self.shared.release.notify_all();
--- a/crates/godwitspool-fakes/tests/engine.rs
+++ b/crates/godwitspool-fakes/tests/engine.rs
@@ -15,7 +15,7 @@
 use godwitspool_types::{Term, WeightVersion};
 use rstest::rstest;
 
-const TIMEOUT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn quick() -> EngineOptions {
     EngineOptions {
@@ -80,7 +80,7 @@
     let start = Instant::now();
     while !done() {
         assert!(
-            start.elapsed() < TIMEOUT,
+            start.elapsed() < WAIT_TIMEOUT,
             "the condition was not met in time"
         );
         thread::sleep(Duration::from_millis(2));
--- a/crates/godwitspool-fakes/tests/platform.rs
+++ b/crates/godwitspool-fakes/tests/platform.rs
@@ -19,7 +19,7 @@
 const LAG: Duration = Duration::from_millis(100);
 /// Minimum lag that a test expects; below `LAG` because times are rounded to milliseconds.
 const MIN_LAG: Duration = Duration::from_millis(80);
-const TIMEOUT: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn post<T: DeserializeOwned>(
     platform: &Platform,
@@ -89,7 +89,7 @@
     let start = Instant::now();
     while !done() {
         assert!(
-            start.elapsed() < TIMEOUT,
+            start.elapsed() < WAIT_TIMEOUT,
             "the condition was not met in time"
         );
         thread::sleep(Duration::from_millis(2));
