--- a/crates/godwitspool-demo/src/caller.rs
+++ b/crates/godwitspool-demo/src/caller.rs
@@ -22,7 +22,8 @@
 
 const MAX_TOKENS: u32 = 48;
 const MIN_TOKENS: u32 = 8;
-/// Tokens of an answer that takes longer than a withdrawn key may still work.
+/// Maximum number of tokens of a long answer, which takes longer than a withdrawn key may still
+/// work.
 const LONG_ANSWER_TOKENS: u32 = 900;
 const MAX_ATTEMPTS: u32 = 4;
 const RETRY_DELAY: Duration = Duration::from_millis(150);
@@ -55,7 +56,7 @@
 /// State that the callers and trainers of one workspace share.
 #[derive(Debug)]
 pub(crate) struct Session {
-    /// Hosts, from which each request takes a random one as with a load balancer.
+    /// Hosts. Each request goes to a random one, as behind a load balancer.
     pub(crate) hosts: Vec<(HostName, SocketAddr)>,
     pub(crate) keys: Mutex<Keys>,
     /// Results of the callers' requests.
@@ -67,9 +68,9 @@
 /// Results of a workspace's requests, after retries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestStats {
-    /// Requests with a failed connection or a wrong answer, by reason.
+    /// Requests whose connection failed or whose answer was interrupted or wrong, by reason.
     pub(crate) failed: BTreeMap<String, u64>,
-    /// Latencies of whole answers, including retries, in milliseconds.
+    /// Latencies of complete answers, including retries, in milliseconds.
     pub(crate) ok_ms: Vec<u64>,
     /// Requests whose last attempt was refused, by reason.
     pub(crate) refused: BTreeMap<String, u64>,
--- a/crates/godwitspool-demo/src/client.rs
+++ b/crates/godwitspool-demo/src/client.rs
@@ -18,7 +18,7 @@
 /// the event follows.
 pub(crate) const ERROR_EVENT_PREFIX: &str = "stream ended with an error event: ";
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Timeout of a whole request, including the answer.
+/// Timeout of a request, including the answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Result of a request.
@@ -166,7 +166,7 @@
         Reply::Broken("stream ended without [DONE]".to_owned())
     }
 
-    /// Sends a call to a plain service and reads the whole answer.
+    /// Sends a call to a plain service and reads the complete answer.
     pub(crate) fn call(
         &self,
         host: SocketAddr,
--- a/crates/godwitspool-demo/src/fault.rs
+++ b/crates/godwitspool-demo/src/fault.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng, seq::SliceRandom};
 use serde::Serialize;
 
-/// Share of the run before the first fault, in permille.
+/// Share of the run before which no fault starts, in permille.
 const FIRST_FAULT_PERMILLE: u64 = 150;
 /// Share of the run after which no fault starts, in permille.
 const LAST_FAULT_PERMILLE: u64 = 750;
--- a/crates/godwitspool-demo/src/figures.rs
+++ b/crates/godwitspool-demo/src/figures.rs
@@ -30,27 +30,27 @@
     pub faults: Vec<String>,
     /// Time that callers and trainers ran, in seconds.
     pub seconds: u64,
-    /// Interactive requests that got a whole answer.
+    /// Interactive requests that got a complete answer.
     pub interactive_ok: u64,
     /// Interactive requests whose last attempt was refused.
     pub interactive_refused: u64,
-    /// Interactive requests with a failed connection or a wrong answer.
+    /// Interactive requests whose connection failed or whose answer was interrupted or wrong.
     pub interactive_failed: u64,
-    /// Median latency of whole answers, in milliseconds.
+    /// Median latency of complete answers, in milliseconds.
     pub interactive_p50_ms: u64,
-    /// 99th percentile of the latency of whole answers, in milliseconds.
+    /// 99th percentile of the latency of complete answers, in milliseconds.
     pub interactive_p99_ms: u64,
     /// [`Self::interactive_refused`] by reason.
     pub refused_by_reason: BTreeMap<String, u64>,
     /// [`Self::interactive_failed`] by reason.
     pub failed_by_reason: BTreeMap<String, u64>,
-    /// Lowest share of whole answers among all workspaces, from 0 to 1.
+    /// Lowest share of complete answers among all workspaces, from 0 to 1.
     pub worst_workspace_ok_ratio: f64,
     /// Highest 99th percentile of latency among all workspaces, in milliseconds.
     pub worst_workspace_p99_ms: u64,
-    /// Steps of which a trainer fetched the whole batch.
+    /// Steps of which a trainer fetched the complete batch.
     pub steps_complete: u64,
-    /// Samples that trainers received in whole batches.
+    /// Samples that trainers received in complete batches.
     pub samples_delivered: u64,
     /// Samples that were missing, changed or delivered twice.
     pub samples_duplicate: u64,
@@ -66,7 +66,7 @@
     pub cheap_target_ratio: f64,
     /// Target orders that the platform received.
     pub orders_sent: u64,
-    /// Violations in which two processes sent target orders at the same time.
+    /// Violations in which two processes both sent target orders as the lease holder.
     pub orders_conflicting: u64,
     /// Usage windows that were reported.
     pub windows_reported: u64,
--- a/crates/godwitspool-demo/src/inject.rs
+++ b/crates/godwitspool-demo/src/inject.rs
@@ -174,8 +174,7 @@
             .record(Event::Started(host.config.host.clone()));
     }
 
-    /// Gives about half of the running engines one of three swap faults, from a start that `pick`
-    /// decides.
+    /// Sets one of three swap faults on about half of the running engines, which `pick` selects.
     fn fail_swaps(&self, pick: u64, duration: Duration) {
         let faults = [SwapFault::Fails, SwapFault::FalseSuccess, SwapFault::Late];
         let engines = self.system.platform.running_engines();
--- a/crates/godwitspool-demo/src/trainer.rs
+++ b/crates/godwitspool-demo/src/trainer.rs
@@ -122,7 +122,7 @@
 
 impl Trainer {
     /// Trains on one step after another until `stopped` is set. Submits the next step before it
-    /// fetches a batch, so that hosts can work on it meanwhile.
+    /// fetches a batch, so that the system can work on it meanwhile.
     pub(crate) fn run(&self, stopped: &AtomicBool) -> TrainerResult {
         let mut result = TrainerResult::default();
         let start = Instant::now();
