--- a/crates/godwitspool-connection/src/messages.rs
+++ b/crates/godwitspool-connection/src/messages.rs
@@ -26,7 +26,7 @@
     HeldUsage,
     /// Stores usage records of an entry; answered once they are stored.
     HoldUsage(Vec<UsageRecord>),
-    /// Asks for a snapshot of the configuration's fold.
+    /// Asks for a snapshot of the steward's fold of the log.
     Snapshot,
     /// Asks for the records of the log from this offset on.
     Tail(Offset),
@@ -52,7 +52,7 @@
     },
     /// Records of the log.
     Tail {
-        /// Milliseconds since the steward last knew that it had applied the whole log.
+        /// Milliseconds since the steward last knew that it had applied the complete log.
         age_ms: u64,
         /// Records in order of offset.
         records: Vec<LogRecord>,
@@ -102,7 +102,7 @@
     pub offset: Offset,
     /// Number of changes of this steward's view so far.
     pub revision: u64,
-    /// The known targets.
+    /// Targets in the platform's list; one that an open order is to stop is shown as leaving.
     pub targets: Vec<TargetEntry>,
 }
 
@@ -111,7 +111,7 @@
 pub struct Member {
     /// Name of the host.
     pub host: HostName,
-    /// Data centre.
+    /// Data centre of the host.
     pub dc: Dc,
     /// Address at which other entries call its entry.
     pub entry: SocketAddr,
--- a/crates/godwitspool-measure/src/slopes/mod.rs
+++ b/crates/godwitspool-measure/src/slopes/mod.rs
@@ -1,4 +1,5 @@
-//! Slopes: what a unit more of something costs, measured at three or more sizes.
+//! Slopes: the cost of each additional host, target, token and so on. Each is the slope of a line
+//! that is fitted to measurements at three or more sizes.
 
 mod configuration;
 mod gossip;
@@ -11,7 +12,7 @@
 
 /// Measures every slope and fits a line to each.
 pub(crate) fn run(options: &Options) -> Vec<Table> {
-    let mut points = Series::table("slopes");
+    let mut points = Series::points_table("slopes");
     let columns = [
         "series",
         "of",
@@ -22,11 +23,11 @@
     ];
     let mut fits = Table::new("fits", &columns);
     for series in measure_all(options) {
-        series.add_to(&mut points);
+        series.append_to(&mut points);
         if let Some(fit) = series.fit() {
-            fits.row([
+            fits.push_row([
                 series.name.to_owned(),
-                series.of.to_owned(),
+                series.size_unit.to_owned(),
                 series.unit.to_owned(),
                 format!("{:.4}", fit.intercept),
                 format!("{:.6}", fit.slope),
@@ -45,7 +46,7 @@
     all.extend(serving::measure(options.seed));
     match stream::measure() {
         Ok(series) => all.extend(series),
-        Err(error) => eprintln!("slopes of streams are missing: {error}"),
+        Err(error) => eprintln!("slopes of streams were not measured: {error}"),
     }
     all
 }
