--- a/crates/godwitspool-measure/src/capacity/roles/log.rs
+++ b/crates/godwitspool-measure/src/capacity/roles/log.rs
@@ -3,7 +3,6 @@
 use super::steward::SEAL_FIGURES;
 use crate::capacity::{Fits, FitsError, Fleet, RoleTable, Row};
 
-/// Number of leases.
 const LEASES: f64 = 3.0;
 /// Time between two renewals of a lease.
 const RENEWAL_INTERVAL_S: f64 = 0.7;
--- a/crates/godwitspool-measure/src/command.rs
+++ b/crates/godwitspool-measure/src/command.rs
@@ -32,7 +32,7 @@
             run: serving::admission,
         },
         Self {
-            about: "CPU time of choosing a target and of a load report, by fleet size",
+            about: "time to choose a target and to apply a load report, by fleet size",
             name: "decisions",
             run: serving::decisions,
         },
@@ -72,7 +72,7 @@
             run: serving::retries,
         },
         Self {
-            about: "memory and CPU time per sample of a step",
+            about: "memory and processing time per sample of a step",
             name: "samples",
             run: rollout::samples,
         },
--- a/crates/godwitspool-measure/src/control/in_force.rs
+++ b/crates/godwitspool-measure/src/control/in_force.rs
@@ -48,7 +48,7 @@
     let address = platform.address();
     let start = |number| Host::start(number, &format!("dc-{}", number % dcs), address);
     let followers: Vec<_> = (0..hosts).map(start).collect();
-    wait_until_connected(&followers);
+    connect_hosts(&followers);
     platform.set_slow(delay_ms);
     let mut rng = StdRng::seed_from_u64(seed);
     let (started, cpu_before) = (Instant::now(), cpu_time());
@@ -94,13 +94,13 @@
     ]
 }
 
-fn wait_until_connected(followers: &[Host]) {
+fn connect_hosts(followers: &[Host]) {
     let listed: Vec<_> = followers.iter().map(|host| host.entry.clone()).collect();
     for host in followers {
         host.gossip.set_host_list(listed.clone());
     }
-    // A host knows only the first few hosts of other data centres, so there is no fixed number of
-    // members to wait for.
+    // A host knows only the first few hosts of other data centres, so the condition is a ready log
+    // reader on every host rather than complete membership.
     wait_until(|| {
         followers
             .iter()
--- a/crates/godwitspool-measure/src/control/log_host.rs
+++ b/crates/godwitspool-measure/src/control/log_host.rs
@@ -42,7 +42,7 @@
 }
 
 impl Host {
-    /// Starts a host with all services on free ports of the loopback address.
+    /// Starts a host on a free port of the loopback address, which it uses for both TCP and UDP.
     pub fn start(number: usize, dc: &str, platform: SocketAddr) -> Self {
         let listener =
             TcpListener::bind("127.0.0.1:0").expect("the loopback address has a free port");
--- a/crates/godwitspool-measure/src/control/membership.rs
+++ b/crates/godwitspool-measure/src/control/membership.rs
@@ -49,7 +49,8 @@
     net
 }
 
-/// Kills one host per run and measures the time until all others have removed it.
+/// Kills one host per run and measures the times until the first other host and until all others
+/// have removed it.
 fn detection(seed: u64) -> Table {
     let columns = [
         "hosts",
@@ -142,7 +143,8 @@
     table
 }
 
-/// Measures what hosts send and how much CPU time they use while the membership does not change.
+/// Measures what hosts send, and how long their decisions and coding take, while no host starts or
+/// stops.
 fn load(seed: u64) -> Table {
     let columns = [
         "hosts",
--- a/crates/godwitspool-measure/src/handover.rs
+++ b/crates/godwitspool-measure/src/handover.rs
@@ -19,8 +19,8 @@
 const ROUNDS: usize = 4;
 const LEASE_TERMS: [Millis; 2] = [Millis(1_000), Millis(3_000)];
 
-/// Kills or stops the holder several times per lease term and measures the time until another
-/// steward holds the lease.
+/// For each lease term, kills or stops the holder [`ROUNDS`] times and measures the time until
+/// another steward holds the lease.
 pub(crate) fn run(_options: &Options) -> Vec<Table> {
     let columns = [
         "term_ms",
@@ -71,7 +71,8 @@
         if graceful {
             old_holder.stop();
         } else {
-            // Joins its threads in the background, so that the measured time does not include it.
+            // Dropping a steward joins its threads. This happens in the background, so that the
+            // time is measured from the kill.
             thread::spawn(move || drop(old_holder));
         }
         wait_for_holder(&stewards)?;
--- a/crates/godwitspool-measure/src/lib.rs
+++ b/crates/godwitspool-measure/src/lib.rs
@@ -1,10 +1,10 @@
-//! Measurements of costs by size (slopes) and of policies. Each command fills one or more tables.
+//! Measurements of costs by size (slopes) and of policies.
 //!
 //! ```sh
 //! cargo run --release --bin godwitspool-measure -- herd --seed 7 --out docs/measurements
 //! ```
 //!
-//! Every command fills one or more [`Table`]s, which are printed and written as CSV. A policy and
+//! Every [`Command`] fills one or more [`Table`]s, which are printed and written as CSV. A policy and
 //! the simple baselines it is compared with are rows of the same table, from the same run and seed.
 
 mod capacity;
--- a/crates/godwitspool-measure/src/policies/scaling.rs
+++ b/crates/godwitspool-measure/src/policies/scaling.rs
@@ -11,9 +11,10 @@
 use crate::{Options, Table};
 
 const CLASSES: [&str; 2] = ["kept", "reclaimable"];
-/// Size of the fixed fleet and upper limit of the others.
+/// Size of the fixed fleet, upper limit of the threshold fleet, and upper limit per class of the
+/// break-even fleet.
 const MAX_TARGETS: u32 = 16;
-/// Initial size and lower limit of the fleets that scale.
+/// Initial size and lower limit of the fleets that scale, in non-reclaimable targets.
 const MIN_TARGETS: u32 = 3;
 const RUN_TIME: Millis = Millis(4 * 3_600_000);
 const DECISION_INTERVAL: Millis = Millis(1_000);
--- a/crates/godwitspool-measure/src/process_usage.rs
+++ b/crates/godwitspool-measure/src/process_usage.rs
@@ -5,7 +5,7 @@
 /// Clock ticks per second in `/proc/self/stat`.
 const TICKS_PER_S: f64 = 100.0;
 const PAGE_BYTES: f64 = 4_096.0;
-/// Index of a field in `/proc/self/stat` after the program's name, counted from 0.
+// Indices of fields in `/proc/self/stat`, counted from 0 after the program's name.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 const RESIDENT_PAGES_FIELD: usize = 21;
--- a/crates/godwitspool-measure/src/rollout/idle.rs
+++ b/crates/godwitspool-measure/src/rollout/idle.rs
@@ -16,8 +16,7 @@
 /// A log outage is ended before this step.
 const FAULT_END_STEP: u64 = 12;
 const GROUPS: u32 = 6;
-/// Samples of a group.
-const SAMPLES: u32 = 4;
+const GROUP_SAMPLES: u32 = 4;
 /// Time that the trainer spends on a batch while the samples of the next one are generated.
 const TRAINING_TIME: Duration = Duration::from_secs(1);
 
@@ -58,11 +57,11 @@
 /// the batch before it.
 fn run_steps(fault: Fault) -> io::Result<[String; 6]> {
     let mut system = TrainerSystem::start(3, 4)?;
-    system.submit(0, GROUPS, SAMPLES)?;
+    system.submit(0, GROUPS, GROUP_SAMPLES)?;
     let (mut waited, mut longest_wait) = (Duration::ZERO, Duration::ZERO);
     // Step 0 is not counted, since no training overlaps with its generation.
     let batch = system.fetch(0)?;
-    system.submit(1, GROUPS, SAMPLES)?;
+    system.submit(1, GROUPS, GROUP_SAMPLES)?;
     system.acknowledge(0, &batch)?;
     let start = Instant::now();
     for step in 1..=STEPS {
@@ -75,7 +74,7 @@
         thread::sleep(TRAINING_TIME);
         let fetch_started = Instant::now();
         let batch = system.fetch(step)?;
-        system.submit(step + 1, GROUPS, SAMPLES)?;
+        system.submit(step + 1, GROUPS, GROUP_SAMPLES)?;
         system.acknowledge(step, &batch)?;
         waited += fetch_started.elapsed();
         longest_wait = longest_wait.max(fetch_started.elapsed());
--- a/crates/godwitspool-measure/src/rollout/mod.rs
+++ b/crates/godwitspool-measure/src/rollout/mod.rs
@@ -18,7 +18,7 @@
     vec![idle::measure(options)]
 }
 
-/// Measures memory and CPU time per sample of a step.
+/// Measures memory and processing time per sample of a step.
 pub(crate) fn samples(_options: &Options) -> Vec<Table> {
     vec![samples::measure()]
 }
--- a/crates/godwitspool-measure/src/rollout/samples.rs
+++ b/crates/godwitspool-measure/src/rollout/samples.rs
@@ -1,4 +1,4 @@
-//! Memory and CPU time per sample of a step, by the number of samples.
+//! Memory and processing time per sample of a step, by the number of samples.
 
 use std::{hint::black_box, time::Instant};
 
--- a/crates/godwitspool-measure/src/rollout/shares.rs
+++ b/crates/godwitspool-measure/src/rollout/shares.rs
@@ -59,12 +59,12 @@
             }
         }
         for (index, is_active) in active.iter().enumerate() {
-            let rules = TrainerDemand {
+            let demand = TrainerDemand {
                 share: index as u32 + 1,
                 waiting: if *is_active { 1_000 } else { 0 },
                 ..TrainerDemand::default()
             };
-            shares.set(trainer(index as u32), rules);
+            shares.set(trainer(index as u32), demand);
         }
         let cost = rng.random_range(300.0..700.0);
         let Some(next) = shares.next(Millis::ZERO, cost, |_| true) else {
--- a/crates/godwitspool-measure/src/rollout/step_run.rs
+++ b/crates/godwitspool-measure/src/rollout/step_run.rs
@@ -15,7 +15,8 @@
 pub(super) const MAX_TOKENS: u32 = 16_384;
 /// Number of prompt tokens that a target processes in the time that it takes to generate one.
 const PREFILL_RATIO: f64 = 20.0;
-/// A target that is slower than the median by more than this factor gets no new samples.
+/// Under [`Policy::Predicted`], a target that is slower than the median by more than this factor
+/// gets no new samples.
 const SLOW_TARGET_FACTOR: f64 = 3.0;
 
 /// How to handle stragglers. The names are printed in the table.
@@ -52,6 +53,7 @@
 pub(super) struct Outcome {
     /// Work beyond generating each sample once, relative to that.
     pub(super) extra_work: f64,
+    /// Number of hedges, migrations and resumptions.
     pub(super) remedies: u32,
     pub(super) step_s: f64,
 }
@@ -331,6 +333,8 @@
         }
     }
 
+    /// Sorts the queue: the first sample of each group comes first, and both these and the others are
+    /// ordered by the expected length of their group's answers, longest first.
     fn sort_queue(&mut self) {
         let mut longest: HashMap<u32, u32> = HashMap::new();
         for stream in &self.streams {
--- a/crates/godwitspool-measure/src/rollout/trainer_system.rs
+++ b/crates/godwitspool-measure/src/rollout/trainer_system.rs
@@ -80,7 +80,8 @@
         self.platform.set_hosts(listed.collect());
     }
 
-    /// Kills the host that is home of the trainer's steps, without announcing it to the others.
+    /// Kills the host that is home of the trainer's steps without announcing it to the others, and
+    /// removes it from the platform's host list.
     pub(super) fn kill_home(&mut self) {
         let names = self.hosts.iter().map(|(listed, ..)| listed.host.clone());
         let ranked: Vec<HostName> = rank_hosts(&TrainerName::from(TRAINER), names);
@@ -110,7 +111,7 @@
             .map(drop)
     }
 
-    /// Sends a request to one host after the other until one answers with status 200.
+    /// Sends a request to one host after the other until one responds with status 200.
     fn retry_on_hosts(&self, send: impl Fn(SocketAddr) -> Option<Value>) -> io::Result<Value> {
         let end = Instant::now() + RETRY_TIMEOUT;
         while Instant::now() < end {
@@ -215,8 +216,8 @@
     parse_success(request.call().ok()?)
 }
 
-fn parse_success(mut answer: ureq::http::Response<ureq::Body>) -> Option<Value> {
-    let text = answer.body_mut().read_to_string().ok()?;
-    let is_ok = answer.status().as_u16() == 200;
+fn parse_success(mut response: ureq::http::Response<ureq::Body>) -> Option<Value> {
+    let text = response.body_mut().read_to_string().ok()?;
+    let is_ok = response.status().as_u16() == 200;
     is_ok.then(|| serde_json::from_str(&text).ok()).flatten()
 }
--- a/crates/godwitspool-measure/src/serving/decisions.rs
+++ b/crates/godwitspool-measure/src/serving/decisions.rs
@@ -1,4 +1,4 @@
-//! CPU time of choosing a target and of a load report, by fleet size.
+//! Time to choose a target and to apply a load report, by fleet size.
 
 use std::hint::black_box;
 
--- a/crates/godwitspool-measure/src/serving/fleet.rs
+++ b/crates/godwitspool-measure/src/serving/fleet.rs
@@ -113,7 +113,8 @@
     shares: Vec<TrainingShare>,
 }
 
-/// A job that ended, either completed (`done`) or refused without running.
+/// A job that ended. `done` is true if it was completed, and false if it was refused without
+/// running or is past its deadline when the run ends.
 pub(super) struct EndedJob {
     pub(super) done: bool,
     pub(super) job: Job,
--- a/crates/godwitspool-measure/src/serving/latency.rs
+++ b/crates/godwitspool-measure/src/serving/latency.rs
@@ -27,7 +27,7 @@
 const ROUND_TIME: Duration = Duration::from_secs(3);
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Calls a plain service that answers without delay, alternately directly and through the entry.
+/// Calls a plain service that responds without delay, alternately directly and through the entry.
 pub(crate) fn run(_options: &Options) -> Vec<Table> {
     let columns = ["path", "calls", "failed", "p50_ms", "p99_ms", "p999_ms"];
     let mut table = Table::new("latency", &columns);
@@ -193,6 +193,7 @@
     }
 }
 
+/// Starts a server that gives the entry its view in place of a steward.
 fn serve_view(view: &Arc<Mutex<View>>) -> std::io::Result<Server> {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
     let view = Arc::clone(view);
--- a/crates/godwitspool-measure/src/serving/poison.rs
+++ b/crates/godwitspool-measure/src/serving/poison.rs
@@ -45,7 +45,7 @@
         ("godwitspool", |seed| simulate(seed, Policy::Trials)),
     ];
     for (name, run) in policies {
-        let outcomes: Vec<Outcome> = (0..RUNS).map(|round| run(options.seed + round)).collect();
+        let outcomes: Vec<Outcome> = (0..RUNS).map(|index| run(options.seed + index)).collect();
         let crashed: usize = outcomes.iter().map(|outcome| outcome.crashed).sum();
         let max_crashed = outcomes.iter().map(|outcome| outcome.crashed).max();
         let innocents: usize = outcomes.iter().map(|outcome| outcome.innocents).sum();
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Policy {
-    /// Quarantines every request that was in flight during two crashes.
+    /// Quarantines every request that was in flight on a crashing target twice.
     Counting,
     None,
     /// The policy of this project: a target runs at most one suspect request at a time, as a trial.
@@ -72,6 +72,7 @@
 /// The state of all hosts, which is shared without delay.
 #[derive(Default)]
 struct SharedState {
+    /// Number of crashes of a target on which each request was in flight.
     counts: BTreeMap<u64, u32>,
     list: SuspectList,
     suspects: Suspects,
--- a/crates/godwitspool-measure/src/serving/silence.rs
+++ b/crates/godwitspool-measure/src/serving/silence.rs
@@ -44,7 +44,7 @@
     Fixed(Millis),
     /// Learned from the gaps of the stream itself.
     Learned,
-    /// Learned, starting from the timeout of the last stream of the target.
+    /// Learned, starting from what the target's previous stream has learned.
     LearnedFromTarget,
 }
 
--- a/crates/godwitspool-measure/src/slopes/gossip.rs
+++ b/crates/godwitspool-measure/src/slopes/gossip.rs
@@ -16,10 +16,13 @@
     let (hosts, dcs) = ([10, 50, 131], [2, 4, 8]);
     let loads_by_hosts: Vec<_> = hosts.iter().map(|&hosts| load(1, hosts, seed)).collect();
     let loads_by_dcs: Vec<_> = dcs.iter().map(|&dcs| load(dcs, DC_HOSTS, seed)).collect();
-    let series = |name, of, unit, sizes: &[usize], loads: &[Load], pick: fn(&Load) -> f64| {
-        let mut values = loads.iter().map(pick);
-        Series::measure(name, of, unit, sizes, |_| values.next().unwrap_or(0.0))
-    };
+    let series =
+        |name, size_unit, unit, sizes: &[usize], loads: &[Load], pick: fn(&Load) -> f64| {
+            let mut values = loads.iter().map(pick);
+            Series::measure(name, size_unit, unit, sizes, |_| {
+                values.next().unwrap_or(0.0)
+            })
+        };
     vec![
         series(
             "gossip-bytes",
@@ -35,7 +38,7 @@
             "us/s",
             &hosts,
             &loads_by_hosts,
-            |load| load.cpu_us,
+            |load| load.busy_us,
         ),
         series(
             "gossip-dc-bytes",
@@ -46,7 +49,7 @@
             |load| load.bytes,
         ),
         series("gossip-dc-us", "dcs", "us/s", &dcs, &loads_by_dcs, |load| {
-            load.cpu_us
+            load.busy_us
         }),
     ]
 }
@@ -55,7 +58,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Load {
     bytes: f64,
-    cpu_us: f64,
+    /// Time spent in decisions and in encoding and decoding datagrams.
+    busy_us: f64,
 }
 
 fn load(dcs: usize, hosts: usize, seed: u64) -> Load {
@@ -74,14 +78,14 @@
     let seconds = LOAD_RUN.seconds();
     let mut busiest = Load {
         bytes: 0.0,
-        cpu_us: 0.0,
+        busy_us: 0.0,
     };
     for (host, (bytes, busy_before)) in net.hosts.iter().zip(before) {
         let busy: Duration = host.busy_time.saturating_sub(busy_before);
         busiest.bytes = busiest
             .bytes
             .max((host.sent.bytes - bytes) as f64 / seconds);
-        busiest.cpu_us = busiest.cpu_us.max(busy.as_secs_f64() * 1e6 / seconds);
+        busiest.busy_us = busiest.busy_us.max(busy.as_secs_f64() * 1e6 / seconds);
     }
     busiest
 }
--- a/crates/godwitspool-measure/src/slopes/rollout.rs
+++ b/crates/godwitspool-measure/src/slopes/rollout.rs
@@ -1,4 +1,4 @@
-//! Slopes of the host that is home of a trainer's steps: memory and CPU time per sample of a step.
+//! Slopes of the host that is home of a trainer's steps: memory and processing time per sample.
 
 use std::{hint::black_box, time::Instant};
 
--- a/crates/godwitspool-measure/src/slopes/serving.rs
+++ b/crates/godwitspool-measure/src/slopes/serving.rs
@@ -1,4 +1,4 @@
-//! Slopes of the CPU time of the decisions for a request.
+//! Slopes of the time that the decisions for a request take, and of applying a load report.
 
 use godwitspool_request::{KeyTable, LoadReport, Need, TargetFacts, Targets};
 use godwitspool_types::{Dc, Key, Millis, ServiceName};
--- a/crates/godwitspool-measure/src/slopes/stream.rs
+++ b/crates/godwitspool-measure/src/slopes/stream.rs
@@ -1,7 +1,8 @@
 //! Slopes of the entry's data path over real sockets: CPU time by tokens, memory by open streams.
 //!
-//! Callers, fakes and the entry share this process. The CPU time of the entry is that of the
-//! process minus that of the threads of the callers and the fakes.
+//! Callers, fakes, the entry and a steward share this process. The CPU time of the entry is taken as
+//! that of the process minus that of the threads of the callers and the fakes, so it includes the
+//! time of the steward.
 
 use std::{
     io::{self, Write},
--- a/crates/godwitspool-measure/src/system.rs
+++ b/crates/godwitspool-measure/src/system.rs
@@ -38,7 +38,7 @@
 }
 
 impl System {
-    /// Starts the fakes and the daemons and waits until the entry answers requests.
+    /// Starts the fakes and the daemons and waits until the entry serves requests.
     pub(crate) fn start(engines: u32, options: EngineOptions) -> io::Result<Self> {
         // The threads of the fakes inherit the name of the thread that starts them.
         let builder = thread::Builder::new().name(FAKES_THREAD.to_owned());
@@ -195,7 +195,7 @@
         Err(io::ErrorKind::UnexpectedEof.into())
     }
 
-    /// Returns the bytes of an HTTP request for a stream, for callers that do not read the answer.
+    /// Returns the bytes of an HTTP request for a stream, for callers that do not read the response.
     pub(crate) fn raw_request(&self, prompt: &str, max_tokens: u32) -> io::Result<Vec<u8>> {
         let body = serde_json::to_vec(&request(prompt, max_tokens))?;
         let mut bytes = format!(
--- a/crates/godwitspool-measure/tests/capacity.rs
+++ b/crates/godwitspool-measure/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! The capacity page agrees with the measured slopes.
+//! The capacity page must match the fitted slopes in `docs/measurements`, so that a new measurement
+//! does not leave outdated figures on the page.
 
 use std::{fs, path::Path};
 
