--- a/crates/godwitspool-cli/src/command.rs
+++ b/crates/godwitspool-cli/src/command.rs
@@ -16,7 +16,7 @@
   check DIR                   checks an operators' folder and shows which settings override others
   publish DIR [--dry-run]     publishes a folder, or only shows the difference to what is in force
   key issue WORKSPACE         issues a key and shows it once
-  key withdraw DIGEST         withdraws a key by its digest, for good
+  key withdraw DIGEST         withdraws a key by its digest, permanently
   status                      what is in force: leases, orders, windows; and each daemon's state
   explain SUBJECT             what daemons know of a request, target or sample
   explain ID FILE...          merges hosts' log lines about a request, batch, item, target, epoch
--- a/crates/godwitspool-cli/src/log.rs
+++ b/crates/godwitspool-cli/src/log.rs
@@ -14,7 +14,7 @@
 use crate::{command::LogAccess, error::CliError};
 
 const MAX_APPEND_ATTEMPTS: u32 = 5;
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl LogAccess {
@@ -41,7 +41,7 @@
                 }
                 Err(_) => attempts += 1,
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
     }
 
@@ -60,7 +60,7 @@
                 let seconds = IN_FORCE_TIMEOUT.as_secs();
                 return Err(CliError::NotSeen { what, seconds });
             }
-            thread::sleep(RETRY_PAUSE);
+            thread::sleep(RETRY_DELAY);
         }
     }
 }
--- a/crates/godwitspool-cli/tests/explain.rs
+++ b/crates/godwitspool-cli/tests/explain.rs
@@ -28,7 +28,7 @@
 time=108.020 level=info part=h::runner message="item starts" batch=b-1 item=i-1 target_name=e-1 resume_after=None
 time=108.030 level=info part=h::runner message="item starts" batch=b-1 item=i-2 target_name=e-2 resume_after=None
 time=108.500 level=info part=h::runner message="run moves" item=i-1 target_name=e-1 reason=Silent
-time=108.900 level=warn part=h::owner message="store call failed, repeated" partition=2 what="append results" error="nothing done: busy"
+time=108.900 level=warn part=h::owner message="store call failed, repeated" partition=2 what="append results" error="no effect: busy"
 time=109.500 level=info part=h::runner message="item completed" batch=b-1 item=i-1 target_name=e-1 versions="[1, 2]"
 time=109.600 level=info part=h::tails message="target gone" target_name=t-2 service=s
 "#;
