--- a/crates/godwitspool-connection/src/engine.rs
+++ b/crates/godwitspool-connection/src/engine.rs
@@ -68,7 +68,7 @@
     /// Why the stream ended; `None` except in its last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_reason: Option<Finish>,
-    /// Index of the token in the whole answer, from 0.
+    /// Index of the token in the answer, from 0.
     pub index: u32,
 }
 
--- a/crates/godwitspool-connection/src/messages.rs
+++ b/crates/godwitspool-connection/src/messages.rs
@@ -39,7 +39,7 @@
 /// An answer of a steward.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum StewardAnswer {
-    /// The request was carried out.
+    /// The request succeeded.
     Done,
     /// The steward has not read the configuration yet.
     NotReady,
--- a/crates/godwitspool-connection/src/messages/serving.rs
+++ b/crates/godwitspool-connection/src/messages/serving.rs
@@ -82,7 +82,7 @@
 pub enum ServingAnswer {
     /// Answer to a claim.
     Claim(ClaimReply),
-    /// The request was carried out.
+    /// The request succeeded.
     Done,
     /// A part of a workspace's limits; `None` while grants of the previous home host may still be
     /// valid.
--- a/crates/godwitspool-connection/src/peer/server.rs
+++ b/crates/godwitspool-connection/src/peer/server.rs
@@ -29,7 +29,7 @@
 /// Timeouts and limits of a [`Server`].
 #[derive(Clone, Copy, Debug)]
 pub struct ServeBounds {
-    /// Maximum number of open connections; a further one is closed at once. 512 by default.
+    /// Maximum number of open connections; a further one is closed immediately. 512 by default.
     pub max_connections: usize,
     /// Maximum size of a frame's body; 16 MiB by default.
     pub max_frame_bytes: usize,
@@ -87,7 +87,7 @@
     pub damaged: u64,
     /// Connections that are open now.
     pub open: usize,
-    /// Connections that were closed at once because too many were open.
+    /// Connections that were closed immediately because too many were open.
     pub refused: u64,
 }
 
@@ -233,14 +233,14 @@
                 Err(_) if self.shared.stopped.load(Ordering::Acquire) => return,
                 Err(error) => {
                     self.shared.accept_errors.fetch_add(1, Ordering::Relaxed);
-                    log::warn!("accept failed: {error}");
+                    log::warn!("can't accept a connection: {error}");
                     thread::sleep(ACCEPT_BACKOFF);
                     continue;
                 }
             };
             last_id += 1;
             if let Err(error) = self.admit(last_id, stream) {
-                log::warn!("connection can't be served: {error}");
+                log::warn!("can't serve a connection: {error}");
             }
         }
     }
@@ -341,7 +341,7 @@
                     shared.answered.fetch_add(1, Ordering::Relaxed);
                 }
                 Err(error) => {
-                    log::warn!("answer not sent: {error}");
+                    log::warn!("can't send an answer: {error}");
                     drop(writer.shutdown(Shutdown::Both));
                 }
             }
--- a/crates/godwitspool-connection/src/platform.rs
+++ b/crates/godwitspool-connection/src/platform.rs
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderAnswer {
-    /// The order was carried out. Holds the names of the targets that were started or stopped.
+    /// The order was executed. Holds the names of the targets that were started or stopped.
     Done(Vec<TargetName>),
     /// The order was refused, because the platform has seen this higher term.
     Fenced(Term),
--- a/crates/godwitspool-connection/src/target_client.rs
+++ b/crates/godwitspool-connection/src/target_client.rs
@@ -57,7 +57,7 @@
         self.address
     }
 
-    /// Closes the idle connections. Called after one of them timed out, as the others may be dead
+    /// Closes the idle connections. Called after one of them timed out, as the others may be broken
     /// too.
     pub fn clear_pool(&self) {
         self.pool
@@ -69,7 +69,7 @@
     /// Starts a generation. `idle_timeout` bounds the wait for each byte, from the first on.
     ///
     /// # Errors
-    /// Any [`CallError`] except [`CallError::Truncated`].
+    /// Returns any [`CallError`] except [`CallError::Truncated`].
     pub fn generate(
         &self,
         request: &Generate,
@@ -96,7 +96,7 @@
     /// Cancels a generation on the engine.
     ///
     /// # Errors
-    /// Any [`CallError`]. An unknown request gives status 404.
+    /// Returns any [`CallError`]. An unknown request gives status 404.
     pub fn cancel(&self, request: &str) -> Result<(), CallError> {
         let path = format!("/v1/requests/{request}");
         self.exchange(Method::DELETE, &path, &[]).map(drop)
@@ -105,7 +105,7 @@
     /// Stops a generation and returns a handle of its KV cache, for another engine.
     ///
     /// # Errors
-    /// Any [`CallError`].
+    /// Returns any [`CallError`].
     pub fn export(&self, request: &str) -> Result<KvHandle, CallError> {
         self.ask(Method::POST, &format!("/kv/{request}/export"), &())
     }
@@ -113,7 +113,7 @@
     /// Reads the engine's load report.
     ///
     /// # Errors
-    /// Any [`CallError`].
+    /// Returns any [`CallError`].
     pub fn load(&self) -> Result<Load, CallError> {
         decode(&self.exchange(Method::GET, "/load", &[])?)
     }
@@ -121,7 +121,7 @@
     /// Reads prefix cache events, starting at sequence number `from`.
     ///
     /// # Errors
-    /// Any [`CallError`].
+    /// Returns any [`CallError`].
     pub fn cache_events(&self, from: u64) -> Result<CacheEvents, CallError> {
         decode(&self.exchange(Method::GET, &format!("/cache?from={from}"), &[])?)
     }
@@ -129,7 +129,7 @@
     /// Requests a weight swap and waits until the version is loaded, at most for `idle_timeout`.
     ///
     /// # Errors
-    /// Any [`CallError`]. An old term gives status 409.
+    /// Returns any [`CallError`]. An old term gives status 409.
     pub fn swap(&self, order: &SwapOrder, idle_timeout: Millis) -> Result<SwapAnswer, CallError> {
         let connection = TargetConnection::new();
         connection.set_idle_timeout(idle_timeout);
@@ -146,11 +146,12 @@
 
     /// Forwards a call to a plain service.
     ///
-    /// A call that isn't idempotent uses a new connection: on a pooled one that died while idle, it
+    /// A call that isn't idempotent uses a new connection: on a pooled one that broke while idle, it
     /// would be unknown whether the call ran.
     ///
     /// # Errors
-    /// Any [`CallError`] except [`CallError::Status`]: an error status is returned as an answer.
+    /// Returns any [`CallError`] except [`CallError::Status`], since an error status is returned as an
+    /// answer.
     pub fn call(&self, call: &PlainCall, idle_timeout: Millis) -> Result<PlainAnswer, CallError> {
         let connection = if call.idempotent {
             self.take_connection()
@@ -169,7 +170,7 @@
     /// Posts a JSON value and reads the JSON answer; for services that score samples.
     ///
     /// # Errors
-    /// Any [`CallError`].
+    /// Returns any [`CallError`].
     pub fn post<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
--- a/crates/godwitspool-connection/src/token_stream.rs
+++ b/crates/godwitspool-connection/src/token_stream.rs
@@ -55,9 +55,9 @@
     /// Reads the next chunk; `None` after the terminator.
     ///
     /// # Errors
-    /// [`CallError::Silent`] after the idle timeout, [`CallError::Truncated`] when the stream ends
-    /// before its terminator, and otherwise [`CallError::Broken`] or [`CallError::Protocol`]. Every
-    /// error closes the connection.
+    /// Returns [`CallError::Silent`] after the idle timeout, [`CallError::Truncated`] when the stream
+    /// ends before its terminator, and otherwise [`CallError::Broken`] or [`CallError::Protocol`].
+    /// Every error closes the connection.
     pub fn next_chunk(&mut self) -> Result<Option<Chunk>, CallError> {
         let result = self.read_event();
         if result.is_err() {
--- a/crates/godwitspool-connection/tests/peer.rs
+++ b/crates/godwitspool-connection/tests/peer.rs
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_lost_connection_is_opened_anew() {
+fn a_lost_connection_is_reopened() {
     let (listener, address) = listen();
     let server = Server::start(listener, ServeBounds::default(), |n: u64| n).unwrap();
     let link = Link::<u64, u64>::new(address, LinkBounds::default());
