--- a/crates/godwitspool-request/src/admission.rs
+++ b/crates/godwitspool-request/src/admission.rs
@@ -37,7 +37,7 @@
     Tick,
 }
 
-/// An action that the caller of [`Admission::decide`] carries out.
+/// An action that the caller of [`Admission::decide`] executes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionAction {
     /// Refuse the request, which has not run.
--- a/crates/godwitspool-request/src/limits.rs
+++ b/crates/godwitspool-request/src/limits.rs
@@ -121,7 +121,7 @@
         self.grant = Some((grant, asked + GRANT_TTL));
     }
 
-    /// Returns the demand for the home host and starts counting arrivals anew.
+    /// Returns the demand for the home host and restarts the count of arrivals.
     pub fn report(&mut self) -> LimitDemand {
         LimitDemand {
             arrived: std::mem::take(&mut self.arrivals),
--- a/crates/godwitspool-request/src/retry.rs
+++ b/crates/godwitspool-request/src/retry.rs
@@ -14,7 +14,7 @@
     HeadroomEaten,
     /// A hedge was sent because the answer to the first copy was late.
     Hedged,
-    /// A pooled connection was found dead before the request was written.
+    /// A pooled connection was found broken before the request was written.
     PooledDead,
     /// The stream broke off and was resumed.
     StreamBroken,
--- a/crates/godwitspool-request/src/silence.rs
+++ b/crates/godwitspool-request/src/silence.rs
@@ -1,4 +1,4 @@
-//! Detects dead connections with an idle timeout that is learnt from the gaps between bytes.
+//! Detects unresponsive connections with an idle timeout that is learnt from the gaps between bytes.
 
 use godwitspool_types::Millis;
 
@@ -80,7 +80,7 @@
         self.max_gap_ms = (self.max_gap_ms * Self::MAX_GAP_DECAY).max(gap_ms);
     }
 
-    /// Returns how long the connection may be idle before it is considered dead.
+    /// Returns how long the connection may be idle before it times out.
     pub fn current(&self) -> Millis {
         if self.count < Self::MIN_GAPS {
             return Self::MAX_TIMEOUT;
--- a/crates/godwitspool-request/src/target.rs
+++ b/crates/godwitspool-request/src/target.rs
@@ -78,7 +78,7 @@
     /// about the time of the previous report.
     pub(crate) fn report(&mut self, report: &LoadReport) {
         let others = report.busy.saturating_sub(self.own_before) as f32;
-        // Without the mean, all hosts would change their choice at once after each report and the
+        // Without the mean, all hosts would change their choice together after each report and the
         // load would oscillate.
         let mean = self.others_mean.unwrap_or(others);
         let mean = mean + (others - mean) * REPORT_WEIGHT;
--- a/crates/godwitspool-request/tests/refusal.rs
+++ b/crates/godwitspool-request/tests/refusal.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn every_reason_stands_on_the_operators_page() {
+fn every_reason_is_on_the_operators_page() {
     let page = include_str!("../../../docs/operators/serving.md");
     for reason in Reason::ALL {
         let row = format!(
--- a/crates/godwitspool-request/tests/targets.rs
+++ b/crates/godwitspool-request/tests/targets.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn nothing_fits_and_everything_is_full_are_told_apart() {
+fn nothing_fits_and_everything_is_full_are_distinguished() {
     let mut targets = fleet(200, 1);
     let other = Need {
         service: ServiceName::from("else"),
