--- a/crates/godwitspool-rollout/src/lib.rs
+++ b/crates/godwitspool-rollout/src/lib.rs
@@ -2,7 +2,7 @@
 //! weight rollout.
 //!
 //! The crate performs no I/O: an event and the current time go in, actions come out, and the entry
-//! and the steward carry them out. Main types:
+//! and the steward execute them. Main types:
 //!
 //! - [`TrainerSteps`]: the replicated steps of one trainer, as seen by one host.
 //! - [`Sample`] and [`VersionOrder`]: the weight versions that produced a sample, and whether they
--- a/crates/godwitspool-rollout/src/reclaim.rs
+++ b/crates/godwitspool-rollout/src/reclaim.rs
@@ -59,7 +59,7 @@
     Resume,
 }
 
-/// The moves in the order in which they must be carried out.
+/// The moves in the order in which they must be executed.
 pub type ReclaimPlan = Vec<(SampleId, ReclaimMove)>;
 
 /// Plans a move for each stream.
--- a/crates/godwitspool-rollout/src/step/event.rs
+++ b/crates/godwitspool-rollout/src/step/event.rs
@@ -55,7 +55,7 @@
     Tick,
 }
 
-/// An action for the caller of [`TrainerSteps::decide`](super::TrainerSteps::decide) to carry out.
+/// An action for the caller of [`TrainerSteps::decide`](super::TrainerSteps::decide) to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StepAction {
     /// Sends an answer to the trainer.
--- a/crates/godwitspool-rollout/tests/histories.rs
+++ b/crates/godwitspool-rollout/tests/histories.rs
@@ -22,11 +22,11 @@
     ]
 }
 
-/// Like [`benign_ops`], but hosts may also consider live hosts dead.
+/// Like [`benign_ops`], but hosts may also consider running hosts down.
 fn partition_ops() -> impl Strategy<Value = Op> {
     prop_oneof![
         20 => benign_ops(),
-        2 => (0..3_usize, 0..4_usize).prop_map(|(host, dead)| Op::Rank(host, dead)),
+        2 => (0..3_usize, 0..4_usize).prop_map(|(host, down)| Op::Rank(host, down)),
     ]
 }
 
@@ -103,7 +103,7 @@
 fn what_a_home_accepted_while_cut_off_is_merged() {
     let mut world = World::new();
     settle(&mut world);
-    // Hosts 0 and 1 consider each other dead, and host 2 still receives messages from both.
+    // Hosts 0 and 1 consider each other down, and host 2 still receives messages from both.
     world.run(Op::Rank(1, 0));
     world.deliver_all();
     world.run(Op::Trainer(1, false));
@@ -146,7 +146,7 @@
 #[test]
 fn homes_that_began_alone_become_one_and_lose_nothing() {
     let mut world = World::new();
-    // Before any message is delivered, each host considers the others dead.
+    // Before any message is delivered, each host considers the others down.
     for host in 0..3 {
         world.isolate(host);
     }
--- a/crates/godwitspool-rollout/tests/swaps.rs
+++ b/crates/godwitspool-rollout/tests/swaps.rs
@@ -143,7 +143,7 @@
             open.extend(swaps(&actions));
             prop_assert!(
                 open.len() <= max_swapping,
-                "{} targets swap at once, at most {max_swapping} may",
+                "{} targets swap concurrently, at most {max_swapping} may",
                 open.len()
             );
             let now = Millis(round * 50);
--- a/crates/godwitspool-rollout/tests/world/mod.rs
+++ b/crates/godwitspool-rollout/tests/world/mod.rs
@@ -18,14 +18,14 @@
     Deliver(usize),
     Duplicate(usize),
     Finish(usize),
-    /// Restarts a host without its state. The flag tells whether the others notice.
+    /// Restarts a host without its state. The flag says whether the others notice.
     Kill(usize, bool),
     Lose(usize),
     Publish,
-    /// Gives the first host a ranking in which the second one is dead.
+    /// Gives the first host a ranking in which the second one is down.
     Rank(usize, usize),
     Tick,
-    /// The trainer sends a request to a host. The flag tells whether the answer is lost.
+    /// The trainer sends a request to a host. The flag says whether the answer is lost.
     Trainer(usize, bool),
 }
 
@@ -109,8 +109,8 @@
                     self.send_event(host, StepEvent::Published(version));
                 }
             }
-            Op::Rank(host, dead) => {
-                let live = (0..HOSTS).filter(|other| *other == host || other != &dead);
+            Op::Rank(host, down) => {
+                let live = (0..HOSTS).filter(|other| *other == host || other != &down);
                 let ranked = live.map(name).collect();
                 self.send_event(host, StepEvent::Ranked(ranked));
             }
