--- a/crates/godwitspool-version/src/append_budget.rs
+++ b/crates/godwitspool-version/src/append_budget.rs
@@ -75,7 +75,7 @@
 /// Limits of one stream on one host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StreamLimits {
-    /// Maximum number of records that may be appended at once after a period without appends.
+    /// Maximum number of records that may be appended in one burst after a period without appends.
     pub burst: u64,
     /// Maximum number of records per minute.
     pub per_minute: u64,
--- a/crates/godwitspool-version/src/candidate.rs
+++ b/crates/godwitspool-version/src/candidate.rs
@@ -55,7 +55,7 @@
     Leave,
 }
 
-/// An output of [`LeaseCandidate::decide`], which the caller carries out.
+/// An output of [`LeaseCandidate::decide`], which the caller executes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeaseAction {
     /// Append the record. If the result of the append is unknown, the same record may be appended
--- a/crates/godwitspool-version/src/scaling.rs
+++ b/crates/godwitspool-version/src/scaling.rs
@@ -104,7 +104,7 @@
     slots_per_target: u32,
     /// Missing slots for training.
     training_shortage: u32,
-    /// Slots with which all training samples would run at once.
+    /// Slots with which all training samples would run concurrently.
     training_wanted: u32,
 }
 
--- a/crates/godwitspool-version/tests/lease_schedules.rs
+++ b/crates/godwitspool-version/tests/lease_schedules.rs
@@ -144,7 +144,7 @@
         let mut world = World::new(RULES);
         for op in ops {
             world.run(op);
-            prop_assert!(!world.clashes(), "two processes acted at once");
+            prop_assert!(!world.clashes(), "two processes acted at the same time");
         }
     }
 }
--- a/crates/godwitspool-version/tests/lease_search.rs
+++ b/crates/godwitspool-version/tests/lease_search.rs
@@ -145,7 +145,7 @@
     }
 
     /// Delivers an append, and returns the worlds without and with a copy that stays in flight. The
-    /// loss of an append needs no step of its own, because the other processes can't distinguish it
+    /// loss of an append needs no separate step, because the other processes can't distinguish it
     /// from an append that was never sent.
     fn deliver(&self, index: usize, max_records: usize) -> impl Iterator<Item = Self> {
         let mut again = self.clone();
@@ -210,7 +210,7 @@
 #[case::renewal_then_handover(3, 5)]
 fn no_two_processes_act_at_once(#[case] max_records: usize, #[case] max_ticks: u64) {
     let found = search(SAFE, max_records, max_ticks, 1);
-    assert!(!found.clash, "two processes acted at once");
+    assert!(!found.clash, "two processes acted at the same time");
     assert!(found.states < MAX_STATES, "the search was cut off");
     assert_eq!(found.acted.len(), PROCESSES, "a process never acted");
 }
