--- a/crates/godwitspool-process/src/http_listener.rs
+++ b/crates/godwitspool-process/src/http_listener.rs
@@ -107,7 +107,7 @@
         self.stopped.store(true, Ordering::Release);
         // The system refuses new connections from here on, so callers know that nothing was run.
         if let Err(error) = SockRef::from(&self.listener).shutdown(Shutdown::Both) {
-            log::debug!(address:% = self.address; "shutting down the listening socket failed: {error}");
+            log::debug!(address:% = self.address; "can't shut down the listening socket: {error}");
         }
         self.server().unblock();
     }
@@ -139,11 +139,13 @@
             return;
         }
         self.reopened.fetch_add(1, Ordering::Relaxed);
-        log::warn!(address:% = self.address; "accept failed: {error}");
+        log::warn!(address:% = self.address; "can't accept a connection: {error}");
         thread::sleep(REOPEN_BACKOFF);
         match open(&self.listener) {
             Ok(opened) => *server = Arc::new(opened),
-            Err(error) => log::warn!(address:% = self.address; "reopening failed: {error}"),
+            Err(error) => {
+                log::warn!(address:% = self.address; "can't reopen the listening socket: {error}");
+            }
         }
     }
 
--- a/crates/godwitspool-process/src/log_reader/thread.rs
+++ b/crates/godwitspool-process/src/log_reader/thread.rs
@@ -202,7 +202,7 @@
         };
         match answer {
             Answer::Failed(reason) => {
-                log::warn!(source:? = request.source(); "reading the log failed: {reason}");
+                log::warn!(source:? = request.source(); "can't read the log: {reason}");
                 self.decide(ReadEvent::Failed);
             }
             Answer::Gap => self.handle_gap(request.source()),
--- a/crates/godwitspool-process/src/membership/core.rs
+++ b/crates/godwitspool-process/src/membership/core.rs
@@ -40,7 +40,7 @@
     Tick,
 }
 
-/// An output of [`Membership::decide`], to be carried out by the caller.
+/// An output of [`Membership::decide`], to be executed by the caller.
 #[derive(Clone, Debug)]
 pub enum MembershipAction {
     /// Notify subscribers that the members or the hints have changed.
@@ -359,7 +359,7 @@
         local
     }
 
-    /// Sends a change of the local host's record at once, without waiting for the next probes.
+    /// Sends a change of the local host's record immediately, without waiting for the next probes.
     fn announce(&mut self, now: Millis, rng: &mut impl Rng, actions: &mut Vec<MembershipAction>) {
         self.own.version += 1;
         self.queue.push_host(&self.own.host.clone());
--- a/crates/godwitspool-process/src/membership/gossip.rs
+++ b/crates/godwitspool-process/src/membership/gossip.rs
@@ -22,7 +22,7 @@
 use crate::{Clock, CounterSample, Metrics};
 
 /// Interval of [`MembershipEvent::Tick`], and the socket's receive timeout.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A notification to the subscriber of [`Gossip`].
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -109,7 +109,7 @@
     where
         Event: From<GossipEvent> + Send + 'static,
     {
-        socket.set_read_timeout(Some(TICK))?;
+        socket.set_read_timeout(Some(TICK_INTERVAL))?;
         let shared = Arc::new(Shared {
             clock,
             damaged: AtomicU64::new(0),
@@ -229,11 +229,11 @@
                 Ok((size, from)) => events.extend(self.receive(from, &buffer[..size])),
                 Err(error) if is_transient(&error) => {}
                 Err(error) => {
-                    log::warn!("receiving a gossip datagram failed: {error}");
-                    thread::sleep(TICK);
+                    log::warn!("can't receive a gossip datagram: {error}");
+                    thread::sleep(TICK_INTERVAL);
                 }
             }
-            if (self.clock.now() - last_tick).duration() >= TICK {
+            if (self.clock.now() - last_tick).duration() >= TICK_INTERVAL {
                 last_tick = self.clock.now();
                 events.extend(self.decide(MembershipEvent::Tick));
             }
@@ -287,7 +287,7 @@
             }
             Err(error) => {
                 self.unsent.fetch_add(1, Ordering::Relaxed);
-                log::debug!(peer:% = to; "sending a gossip datagram failed: {error}");
+                log::debug!(peer:% = to; "can't send a gossip datagram: {error}");
             }
         }
     }
--- a/crates/godwitspool-process/src/membership/simulated.rs
+++ b/crates/godwitspool-process/src/membership/simulated.rs
@@ -25,7 +25,7 @@
     RumorBody,
 };
 
-const TICK: Millis = Millis(25);
+const TICK_INTERVAL: Millis = Millis(25);
 const LOCAL_DELAY: Millis = Millis(1);
 const REMOTE_DELAY: Millis = Millis(20);
 /// IP and UDP headers of a datagram.
@@ -113,7 +113,7 @@
                 .with_host(format!("{dc}-{number}"), dc)
                 .with_addresses((ip, PORT + 1).into(), (ip, PORT).into())
                 .with_life(Incarnation(self.now.0));
-            let next_tick = self.now + Millis(self.rng.random_range(0..TICK.0));
+            let next_tick = self.now + Millis(self.rng.random_range(0..TICK_INTERVAL.0));
             self.by_address.insert(record.steward, index);
             self.hosts.push(SimulatedHost {
                 address: record.steward,
@@ -191,7 +191,7 @@
             if self.now - begun >= bound {
                 return None;
             }
-            self.run_for(TICK);
+            self.run_for(TICK_INTERVAL);
         }
         Some(self.now - begun)
     }
@@ -234,7 +234,7 @@
         }
         for index in 0..self.hosts.len() {
             if self.hosts[index].is_running && self.hosts[index].next_tick <= self.now {
-                self.hosts[index].next_tick = self.now + TICK;
+                self.hosts[index].next_tick = self.now + TICK_INTERVAL;
                 self.apply(index, MembershipEvent::Tick);
             }
         }
--- a/crates/godwitspool-process/src/metrics.rs
+++ b/crates/godwitspool-process/src/metrics.rs
@@ -70,7 +70,7 @@
         reasons
     }
 
-    /// Registers counters that are kept elsewhere; `read` is called for each [`Metrics::text`].
+    /// Registers counters that other code keeps; `read` is called for each [`Metrics::text`].
     ///
     /// ```
     /// use godwitspool_process::{CounterSample, Metrics};
--- a/crates/godwitspool-process/src/operator_http.rs
+++ b/crates/godwitspool-process/src/operator_http.rs
@@ -125,7 +125,7 @@
         response.add_header(header);
     }
     if let Err(error) = request.respond(response) {
-        log::debug!("sending a page to an operator failed: {error}");
+        log::debug!("can't send a page to an operator: {error}");
     }
 }
 
--- a/crates/godwitspool-process/src/yaml/fields.rs
+++ b/crates/godwitspool-process/src/yaml/fields.rs
@@ -52,7 +52,7 @@
         });
     }
 
-    /// Adds findings made elsewhere, such as those of a nested mapping.
+    /// Adds findings from another reader, such as those of a nested mapping.
     pub fn extend(&mut self, findings: impl IntoIterator<Item = Finding>) {
         self.findings.extend(findings);
     }
