--- a/crates/godwitspool-host/src/batch/owner.rs
+++ b/crates/godwitspool-host/src/batch/owner.rs
@@ -185,7 +185,7 @@
                 own.writing.store(false, Ordering::SeqCst);
             });
         if let Err(error) = spawned {
-            log::error!(error:%, partition = part; "cannot start the thread for a partition's results; partition closed");
+            log::error!(error:%, partition = part; "can't start the thread for a partition's results; partition closed");
             self.stop("no thread");
             return;
         }
--- a/crates/godwitspool-host/src/batch/pace.rs
+++ b/crates/godwitspool-host/src/batch/pace.rs
@@ -72,9 +72,9 @@
 /// Decides whether a run moves to another target that has a free slot.
 ///
 /// Load pattern: a group is complete when its longest item is done, while some targets are slow,
-/// are loading weights, or have died without closing their connections. The other target processes
-/// the tokens generated so far within a few milliseconds, so a move costs less than waiting for a
-/// second.
+/// are loading weights, or have crashed without closing their connections. The other target
+/// processes the tokens generated so far within a few milliseconds, so a move costs less than
+/// waiting for a second.
 ///
 /// ```
 /// use godwitspool_host::batch::{Move, Pace, RunView, decide_move};
--- a/crates/godwitspool-host/src/batch/record.rs
+++ b/crates/godwitspool-host/src/batch/record.rs
@@ -280,7 +280,7 @@
 /// Encodes a batch's data. Such values are plain data, so encoding them doesn't fail.
 fn encode(value: &impl serde::Serialize) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap_or_else(|error| {
-        log::error!(error:%; "record value can't be encoded");
+        log::error!(error:%; "can't encode a record value");
         Vec::new()
     })
 }
--- a/crates/godwitspool-host/src/batch/registry.rs
+++ b/crates/godwitspool-host/src/batch/registry.rs
@@ -151,7 +151,7 @@
     }
 
     /// Records that another host owns a partition under `epoch`. If this host owns it under a lower
-    /// epoch, the partition is removed at once and its runs stop: the other host continues the
+    /// epoch, the partition is removed immediately and its runs stop: the other host continues the
     /// items.
     pub fn observe_epoch(&self, part: u32, epoch: u64) {
         let mut epochs = self.epochs.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/godwitspool-host/src/batch/runner.rs
+++ b/crates/godwitspool-host/src/batch/runner.rs
@@ -201,7 +201,7 @@
         let connection = match shared.pool.connect(address) {
             Ok(connection) => connection,
             Err(error) => {
-                log::warn!(target_name:% = name, error:%; "cannot connect to a target");
+                log::warn!(target_name:% = name, error:%; "can't connect to a target");
                 fleet.start(&name);
                 fleet.finish(&name, Outcome::Failed, now);
                 return None;
--- a/crates/godwitspool-host/src/batch/state.rs
+++ b/crates/godwitspool-host/src/batch/state.rs
@@ -79,7 +79,7 @@
     pub state: ItemState,
     /// Number of runs that the target reported as failed.
     pub failures: u32,
-    /// Number of runs that the target rejected for good.
+    /// Number of runs that the target rejected permanently.
     pub rejections: u32,
     /// Number of consecutive broken runs without a new event.
     pub empty_runs: u32,
@@ -119,7 +119,7 @@
     Broken,
     /// The target reported a failure, which counts as an attempt.
     Failed,
-    /// The target rejected the request for good.
+    /// The target rejected the request permanently.
     Rejected,
     /// The run was moved to another target. The output that has arrived is kept.
     Moved,
--- a/crates/godwitspool-host/src/dialect.rs
+++ b/crates/godwitspool-host/src/dialect.rs
@@ -263,7 +263,7 @@
 #[derive(Clone, Debug, Eq, PartialEq, snafu::Snafu)]
 pub enum DutyError {
     /// The platform has seen a higher fencing token: another host holds the duties.
-    #[snafu(display("a higher fencing token was seen"))]
+    #[snafu(display("fenced: the platform has seen a higher fencing token"))]
     Fenced,
     /// The call failed or its outcome is unknown; it may be retried.
     #[snafu(display("{reason}"))]
--- a/crates/godwitspool-host/src/duty/loads.rs
+++ b/crates/godwitspool-host/src/duty/loads.rs
@@ -10,7 +10,7 @@
 /// Time after which an accepted order is repeated if the target's entry doesn't show its effect. It
 /// covers the load itself and the delay until the entry is read.
 const ORDER_TIMEOUT: Millis = Millis(4_000);
-/// Number of targets per concurrent load. More loads at once slow each other down.
+/// Number of targets per concurrent load. More concurrent loads slow each other down.
 const TARGETS_PER_LOAD: usize = 5;
 /// Number of concurrent loads that is always allowed, since so few don't slow each other down.
 const MIN_CONCURRENT_LOADS: usize = 2;
@@ -72,10 +72,11 @@
 /// Decides which targets load which version now; returns the orders, most urgent first.
 ///
 /// Load pattern: each model gets a new version every few seconds, a step also accepts the previous
-/// version, only a few targets may load at once, and a target doesn't serve a model while it loads
-/// it. Therefore half of a model's targets are kept at the newest version: they serve the current
-/// step and the next one, and each target loads every second version. Models with fewer than two
-/// targets for the current step come first, and may use targets that are assigned to other models.
+/// version, only a few targets may load concurrently, and a target doesn't serve a model while it
+/// loads it. Therefore half of a model's targets are kept at the newest version: they serve the
+/// current step and the next one, and each target loads every second version. Models with fewer
+/// than two targets for the current step come first, and may use targets that are assigned to other
+/// models.
 pub fn plan_loads(view: &LoadView<'_>) -> Vec<LoadOrder> {
     let now = view.now;
     let max_loads = (view.targets.len() / TARGETS_PER_LOAD).max(MIN_CONCURRENT_LOADS);
--- a/crates/godwitspool-host/src/http/connection.rs
+++ b/crates/godwitspool-host/src/http/connection.rs
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// When a socket option can't be set, for example because the peer has already disconnected.
+    /// Fails if a socket option can't be set, for example because the peer has already disconnected.
     pub fn accepted(socket: TcpStream) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         set_options(&SockRef::from(&socket))?;
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// When the attempt fails immediately.
+    /// Returns the error if the attempt fails immediately.
     pub fn connect(address: SocketAddr) -> io::Result<Self> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// The error with which the attempt failed.
+    /// Returns the error with which the attempt failed.
     pub fn check_connected(&self) -> io::Result<()> {
         match self.socket.take_error()? {
             Some(error) => Err(error),
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// When the read fails, for example after a connection reset.
+    /// Returns the error of the read, for example after a connection reset.
     pub fn receive(&mut self) -> io::Result<Received> {
         let length = self.input.len();
         self.input.resize(length + MAX_READ_BYTES, 0);
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     ///
-    /// When the connection has failed.
+    /// Fails if the connection has failed.
     pub fn send(&mut self, bytes: &[u8]) -> io::Result<usize> {
         match self.socket.write(bytes) {
             Ok(sent) => Ok(sent),
--- a/crates/godwitspool-host/src/http/decode.rs
+++ b/crates/godwitspool-host/src/http/decode.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum DecodeError {
     /// The start line or a header field is malformed, or the head exceeds a limit.
-    #[snafu(display("malformed message head"))]
+    #[snafu(display("message head is malformed or exceeds a limit"))]
     Head,
     /// `Content-Length` or `Transfer-Encoding` is malformed or unsupported, or the two conflict; or
     /// the chunked framing of a body is malformed.
-    #[snafu(display("malformed message framing"))]
+    #[snafu(display("message framing is malformed or unsupported"))]
     Framing,
 }
 
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// When the bytes aren't a valid request head.
+/// Fails if the bytes aren't a valid request head.
 pub fn decode_request(bytes: &[u8]) -> Result<Option<(Request, usize)>, DecodeError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// When the bytes aren't a valid response head.
+/// Fails if the bytes aren't a valid response head.
 pub fn decode_response(bytes: &[u8]) -> Result<Option<(Response, usize)>, DecodeError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut head = httparse::Response::new(&mut fields);
@@ -104,8 +104,8 @@
     ///
     /// # Errors
     ///
-    /// When `Content-Length` is malformed or repeated, when the transfer coding isn't chunked, or
-    /// when both headers are present. Accepting such a request would allow request smuggling.
+    /// Fails if `Content-Length` is malformed or repeated, the transfer coding isn't chunked, or both
+    /// headers are present. Accepting such a request would allow request smuggling.
     pub fn of_request(headers: &Headers) -> Result<Self, DecodeError> {
         let has_coding = headers.get("transfer-encoding").is_some();
         let lengths: Vec<&str> = content_lengths(headers).collect();
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// When `Content-Length` is malformed or repeated, or when it and `Transfer-Encoding` are both
+    /// Fails if `Content-Length` is malformed or repeated, or if both it and `Transfer-Encoding` are
     /// present.
     pub fn of_response(method: &str, response: &Response) -> Result<Self, DecodeError> {
         if method == "HEAD" || matches!(response.status, 100..=199 | 204 | 304) {
@@ -158,7 +158,7 @@
     ///
     /// # Errors
     ///
-    /// When the chunked framing is malformed.
+    /// Fails if the chunked framing is malformed.
     pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<(), DecodeError> {
         let mut used = 0;
         while let Some(step) = self.step(&input[used..], body)? {
--- a/crates/godwitspool-host/src/http/exchange.rs
+++ b/crates/godwitspool-host/src/http/exchange.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Snafu)]
 pub enum CallError {
     /// Connecting failed, so nothing was sent.
-    #[snafu(display("cannot connect: {source}"))]
+    #[snafu(display("can't connect: {source}"))]
     Connect {
         /// The error with which the attempt failed.
         source: io::Error,
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// When the connection fails or the response is malformed.
+    /// Fails if the connection fails or the response is malformed.
     pub fn advance(&mut self) -> Result<Progress, CallError> {
         if self.connecting {
             let connected = self.connection.check_connected();
@@ -217,21 +217,21 @@
 
     /// Returns the response, and the connection if it can carry another request.
     pub fn finish(mut self) -> (Response, Option<Connection>) {
-        let whole = self.decoder.as_ref().is_some_and(BodyDecoder::is_done)
+        let reusable = self.decoder.as_ref().is_some_and(BodyDecoder::is_done)
             && self.sent == self.output.len()
             && self.connection.input.is_empty()
             && !self.skipped
             && !self.response.headers.lists("connection", "close");
         self.connection.idle_since = Instant::now();
         self.connection.keep_alive_timeout = keep_alive_timeout(&self.response);
-        (self.response, whole.then_some(self.connection))
+        (self.response, reusable.then_some(self.connection))
     }
 
     /// Sends a request on a pooled or new connection and blocks until the response is complete.
     ///
     /// # Errors
     ///
-    /// When the exchange fails or no complete response arrives within the timeout.
+    /// Returns an error if the exchange fails or no complete response arrives within the timeout.
     pub fn call(
         pool: &Pool,
         address: SocketAddr,
--- a/crates/godwitspool-host/src/http/mod.rs
+++ b/crates/godwitspool-host/src/http/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 over TCP without TLS: one server and one client implementation for the whole process.
 //!
-//! Sockets are non-blocking, and [`wait`] polls several of them at once. A thread that waits for a
+//! Sockets are non-blocking, and [`wait`] polls several of them together. A thread that waits for a
 //! target can therefore notice that the caller of the request has disconnected.
 
 mod connection;
--- a/crates/godwitspool-host/src/http/pool.rs
+++ b/crates/godwitspool-host/src/http/pool.rs
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     ///
-    /// When the connection attempt fails immediately.
+    /// Returns the error if the connection attempt fails immediately.
     pub fn connect(&self, address: SocketAddr) -> io::Result<Connection> {
         match self.take(address) {
             Some(connection) => Ok(connection),
--- a/crates/godwitspool-host/src/http/server.rs
+++ b/crates/godwitspool-host/src/http/server.rs
@@ -59,7 +59,7 @@
     #[snafu(display("connection ended"))]
     Ended,
     /// The request exceeds a limit or is malformed.
-    #[snafu(display("refused with {status}"))]
+    #[snafu(display("request refused with status {status}"))]
     Refused {
         /// HTTP status of the response.
         status: u16,
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// When the address can't be bound or the accept thread can't be started.
+    /// Fails if the address can't be bound or the accept thread can't be started.
     pub fn start(
         address: SocketAddr,
         bounds: impl Fn() -> Bounds + Send + Sync + 'static,
@@ -173,7 +173,7 @@
             let stopped = match wait(&sockets, None).as_deref() {
                 Ok(ready) => ready.get(1).is_some_and(|stop| stop.read),
                 Err(error) => {
-                    log::warn!(error:%; "poll on the listener failed");
+                    log::warn!(error:%; "can't poll the listener");
                     thread::sleep(ACCEPT_RETRY_DELAY);
                     false
                 }
@@ -184,7 +184,7 @@
                     Ok((socket, peer)) => self.spawn_connection(socket, peer),
                     Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                     Err(error) => {
-                        log::warn!(error:%; "accept failed");
+                        log::warn!(error:%; "can't accept a connection");
                         thread::sleep(ACCEPT_RETRY_DELAY);
                         break;
                     }
@@ -215,7 +215,7 @@
             });
         if let Err(error) = spawned {
             self.open_connections.fetch_sub(1, Ordering::SeqCst);
-            log::warn!(error:%, peer:%; "cannot start a thread for a connection");
+            log::warn!(error:%, peer:%; "can't start a thread for a connection");
         }
     }
 
@@ -232,7 +232,7 @@
                     caller.close = true;
                     let answer = Response::new(status, Vec::new());
                     if let Err(error) = caller.respond(&answer) {
-                        log::debug!(error:%, status; "error response not sent");
+                        log::debug!(error:%, status; "can't send an error response");
                     }
                     return;
                 }
@@ -241,7 +241,7 @@
                 || request.headers.lists("connection", "close");
             let handled = (self.handler)(&mut caller, request);
             if let Err(error) = handled {
-                log::debug!(error:%; "response not sent");
+                log::debug!(error:%; "can't send a response");
                 return;
             }
             if caller.close {
@@ -345,7 +345,7 @@
     ///
     /// # Errors
     ///
-    /// When the caller has disconnected or accepts no bytes.
+    /// Fails if the caller has disconnected or accepts no bytes.
     pub fn respond(&mut self, response: &Response) -> io::Result<()> {
         if self.close {
             let response = response.clone().with("Connection", "close");
@@ -358,7 +358,7 @@
     ///
     /// # Errors
     ///
-    /// When the caller has disconnected or accepts no bytes.
+    /// Fails if the caller has disconnected or accepts no bytes.
     pub fn begin(&mut self, response: &Response) -> io::Result<()> {
         let mut response = response.clone();
         if self.close {
@@ -371,7 +371,7 @@
     ///
     /// # Errors
     ///
-    /// When the caller has disconnected or accepts no bytes.
+    /// Fails if the caller has disconnected or accepts no bytes.
     pub fn chunk(&mut self, bytes: &[u8]) -> io::Result<()> {
         if bytes.is_empty() {
             return Ok(());
@@ -386,7 +386,7 @@
     ///
     /// # Errors
     ///
-    /// When the caller has disconnected or accepts no bytes.
+    /// Fails if the caller has disconnected or accepts no bytes.
     pub fn end(&mut self) -> io::Result<()> {
         send_all(&mut self.connection, b"0\r\n\r\n")
     }
--- a/crates/godwitspool-host/src/http/wait.rs
+++ b/crates/godwitspool-host/src/http/wait.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// When `poll` fails.
+/// Returns the error of `poll`.
 pub fn wait(
     sockets: &[(BorrowedFd<'_>, Interest)],
     timeout: Option<Duration>,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// When the pipe can't be created.
+    /// Fails if the pipe can't be created.
     pub fn new() -> io::Result<Self> {
         let (reader, writer) = pipe_with(PipeFlags::CLOEXEC | PipeFlags::NONBLOCK)?;
         Ok(Self { reader, writer })
--- a/crates/godwitspool-host/src/process/calls.rs
+++ b/crates/godwitspool-host/src/process/calls.rs
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// When the caller has disconnected.
+/// Fails if the caller has disconnected.
 pub fn serve(shared: &Arc<Shared>, caller: &mut Caller, request: &Request) -> io::Result<()> {
     serve_from(shared, caller, request, Origin::Caller)
 }
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// When the other host has disconnected.
+/// Fails if the other host has disconnected.
 pub fn serve_peer(shared: &Arc<Shared>, caller: &mut Caller, request: &Request) -> io::Result<()> {
     if request.path() == RELAY_PATH {
         return caller.respond(&shared.store.serve(request));
@@ -312,7 +312,7 @@
                 None
             }
             Err(error) => {
-                log::info!(batch, owner:%, error:%; "request to owner failed");
+                log::info!(batch, owner:%, error:%; "can't call the owner of a batch");
                 shared.peers.mark_stale();
                 None
             }
@@ -340,7 +340,7 @@
             }
             Ok(None) => Response::new(404, Vec::new()),
             Err(error) => {
-                log::info!(batch, error:%; "reading a batch from the store failed");
+                log::info!(batch, error:%; "can't read a batch from the store");
                 self.shared.dialect.refusal(RETRY_AFTER_UNAVAILABLE)
             }
         }
--- a/crates/godwitspool-host/src/process/duties.rs
+++ b/crates/godwitspool-host/src/process/duties.rs
@@ -33,7 +33,7 @@
 /// Delay before a failed append of counts is retried.
 const USAGE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// This host's lease on the duties, which one host at a time carries out.
+/// This host's lease on the duties, which one host at a time performs.
 #[derive(Debug, Default)]
 pub struct DutyLease(Mutex<Option<HeldLease>>);
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Carries out the duties while this host holds the lease.
+/// Performs the duties while this host holds the lease.
 pub struct DutyRunner {
     shared: Arc<Shared>,
     duty_lease: Arc<DutyLease>,
@@ -135,7 +135,7 @@
             {
                 self.order_loads(current.epoch);
                 if let Err(error) = self.report_usage(current) {
-                    log::warn!(error:%, epoch; "usage not reported yet");
+                    log::warn!(error:%, epoch; "can't report usage");
                     if matches!(error, StoreError::Fenced { .. }) {
                         term = None;
                     }
@@ -162,7 +162,7 @@
         let records = match read {
             Ok((records, _)) => records,
             Err(error) => {
-                log::warn!(error:%, epoch; "cannot start the term of the duties yet");
+                log::warn!(error:%, epoch; "can't start the term of the duties; retrying");
                 return None;
             }
         };
@@ -313,7 +313,7 @@
             }
         });
         if let Err(error) = spawned {
-            log::error!(error:%; "cannot start a thread for an order");
+            log::error!(error:%; "can't start a thread for an order");
         }
     }
 
@@ -470,7 +470,7 @@
                     let key = format!("{window}/{}/{number}", shared.member);
                     unsent.push(Record::new(key, value));
                 }
-                Err(error) => log::error!(error:%, window; "cannot encode counts"),
+                Err(error) => log::error!(error:%, window; "can't encode counts"),
             }
         }
         if !unsent.is_empty() {
@@ -478,7 +478,7 @@
                 Ok(()) => unsent.clear(),
                 // The append may have succeeded; readers recognize duplicates by their keys.
                 Err(error) => {
-                    log::warn!(records = unsent.len(), error:%; "cannot append counts yet");
+                    log::warn!(records = unsent.len(), error:%; "can't append counts; retrying");
                 }
             }
         }
--- a/crates/godwitspool-host/src/process/host.rs
+++ b/crates/godwitspool-host/src/process/host.rs
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// When an address can't be bound, or a pipe or thread can't be created.
+    /// Fails if an address can't be bound, or a pipe or thread can't be created.
     pub fn start(settings: Settings, adapters: Adapters) -> io::Result<Self> {
         let shared = Arc::new(Shared::new(settings, adapters)?);
         let settings = &shared.settings;
--- a/crates/godwitspool-host/src/process/membership.rs
+++ b/crates/godwitspool-host/src/process/membership.rs
@@ -73,7 +73,7 @@
                 }
             }
             // The store reassigns released partitions at the next renewal, which therefore follows
-            // at once.
+            // immediately.
             if !released {
                 thread::sleep(ttl / RENEWALS_PER_TTL);
             }
@@ -138,7 +138,7 @@
                 self.owners
                     .insert(part, HeldPartition { owner, generation });
             }
-            Err(error) => log::error!(error:%, partition = part; "cannot start a partition thread"),
+            Err(error) => log::error!(error:%, partition = part; "can't start a partition thread"),
         }
     }
 }
--- a/crates/godwitspool-host/src/process/peers.rs
+++ b/crates/godwitspool-host/src/process/peers.rs
@@ -88,7 +88,7 @@
                 cache.holdings = holdings;
                 cache.stale = false;
             }
-            Err(error) => log::info!(error:%; "list of partition holders not refreshed"),
+            Err(error) => log::info!(error:%; "can't refresh the list of partition holders"),
         }
     }
 }
@@ -102,7 +102,7 @@
 ///
 /// # Errors
 ///
-/// When the exchange fails or no complete response arrives within the timeout.
+/// Returns an error if the exchange fails or no complete response arrives within the timeout.
 pub fn call(
     shared: &Shared,
     address: SocketAddr,
--- a/crates/godwitspool-host/src/process/relay.rs
+++ b/crates/godwitspool-host/src/process/relay.rs
@@ -130,7 +130,7 @@
         match postcard::to_stdvec(&answer) {
             Ok(bytes) => Response::new(200, bytes),
             Err(error) => {
-                log::error!(error:%; "cannot encode the result of a relayed store call");
+                log::error!(error:%; "can't encode the result of a relayed store call");
                 Response::new(500, Vec::new())
             }
         }
--- a/crates/godwitspool-host/src/process/reports.rs
+++ b/crates/godwitspool-host/src/process/reports.rs
@@ -83,7 +83,7 @@
         let socket = match UdpSocket::bind(peer_address) {
             Ok(socket) => Some(socket),
             Err(error) => {
-                log::warn!(error:%, address:% = peer_address; "cannot bind the UDP socket; reports between hosts are disabled");
+                log::warn!(error:%, address:% = peer_address; "can't bind the UDP socket; reports between hosts are disabled");
                 None
             }
         };
@@ -147,7 +147,7 @@
                 Ok(length) => length,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) => {
-                    log::debug!(error:%; "receiving a report failed");
+                    log::debug!(error:%; "can't receive a report");
                     thread::sleep(RECEIVE_RETRY_DELAY);
                     continue;
                 }
@@ -187,13 +187,13 @@
             return;
         }
         Err(error) => {
-            log::error!(error:%; "cannot encode a report");
+            log::error!(error:%; "can't encode a report");
             return;
         }
     };
     for address in shared.peers.holders(shared) {
         if let Err(error) = socket.send_to(&bytes, address) {
-            log::debug!(error:%, peer:% = address; "sending a report failed");
+            log::debug!(error:%, peer:% = address; "can't send a report");
         }
     }
 }
--- a/crates/godwitspool-host/src/process/shared.rs
+++ b/crates/godwitspool-host/src/process/shared.rs
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// When no pipe can be created.
+    /// Fails if no pipe can be created.
     pub fn new(settings: Settings, adapters: Adapters) -> io::Result<Self> {
         let metrics = Metrics::default();
         let answers = metrics.counter_by_reason("answers", "Requests by how they ended");
--- a/crates/godwitspool-host/src/process/tails.rs
+++ b/crates/godwitspool-host/src/process/tails.rs
@@ -70,7 +70,7 @@
             }
             Err(error) => {
                 if !unreachable {
-                    log::warn!(topic:?, error:%; "reading from the store failed");
+                    log::warn!(topic:?, error:%; "can't read from the store");
                     unreachable = true;
                 }
                 last_failure = Some(now);
--- a/crates/godwitspool-host/src/request/forward.rs
+++ b/crates/godwitspool-host/src/request/forward.rs
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 ///
-/// When the caller has disconnected or `poll` fails.
+/// Fails if the caller has disconnected or `poll` fails.
 pub fn forward(
     shared: &Shared,
     route: &Route,
@@ -268,7 +268,7 @@
                     return true;
                 }
                 Err(error) => {
-                    log::info!(request = self.call.request(), target_name:% = target, error:%; "cannot connect to a target");
+                    log::info!(request = self.call.request(), target_name:% = target, error:%; "can't connect to a target");
                     self.shared.fleet().finish(&target, Outcome::Failed, now);
                 }
             }
--- a/crates/godwitspool-host/src/store.rs
+++ b/crates/godwitspool-host/src/store.rs
@@ -79,13 +79,13 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize, Snafu)]
 pub enum StoreError {
     /// The call had no effect: the store refused it, or no connection could be made.
-    #[snafu(display("nothing done: {reason}"))]
+    #[snafu(display("no effect: {reason}"))]
     NotDone {
         /// The underlying error, or the status and body of the response.
         reason: String,
     },
     /// The call may have taken effect, or may still take effect.
-    #[snafu(display("unknown whether it was done: {reason}"))]
+    #[snafu(display("outcome unknown: {reason}"))]
     Unknown {
         /// The underlying error, or the status and body of the response.
         reason: String,
@@ -97,13 +97,13 @@
         reason: String,
     },
     /// The records at the requested offset are no longer retained.
-    #[snafu(display("history before offset {first} is gone"))]
+    #[snafu(display("records before offset {first} are no longer retained"))]
     Gone {
         /// First offset that is still retained.
         first: u64,
     },
     /// The answer can't be decoded.
-    #[snafu(display("unreadable answer: {reason}"))]
+    #[snafu(display("answer can't be decoded: {reason}"))]
     Unreadable {
         /// The decoding error.
         reason: String,
--- a/crates/godwitspool-host/src/version/configuration.rs
+++ b/crates/godwitspool-host/src/version/configuration.rs
@@ -100,7 +100,7 @@
     pub connections: u32,
     /// Models that its targets can load; empty for services without models.
     pub models: Vec<ModelName>,
-    /// Number of requests that one target runs at once; 0 for services without models.
+    /// Number of requests that one target runs concurrently; 0 for services without models.
     pub slots: u32,
     /// Limits on the number of ordered targets; `None` if the service isn't scaled.
     pub scaling: Option<Scaling>,
--- a/crates/godwitspool-host/src/version/fleet.rs
+++ b/crates/godwitspool-host/src/version/fleet.rs
@@ -53,7 +53,7 @@
     pub address: SocketAddr,
     /// Data centre of the target.
     pub dc: Dc,
-    /// Number of requests that the target runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
     /// Whether the target is draining: it must not get new requests.
     pub draining: bool,
@@ -344,8 +344,9 @@
     /// version and a free slot, and must not be paused. Targets that aren't slow are preferred,
     /// then targets that are assigned to the model; among equals the least loaded one is chosen.
     ///
-    /// Load pattern: a step submits some sixty items at once. Items for which there is no free slot
-    /// wait at this host, where their order can still change, instead of in a target's queue.
+    /// Load pattern: a step submits some sixty items at the same time. Items for which there is no
+    /// free slot wait at this host, where their order can still change, instead of in a target's
+    /// queue.
     pub fn place(
         &self,
         service: &ServiceName,
--- a/crates/godwitspool-host/tests/loads.rs
+++ b/crates/godwitspool-host/tests/loads.rs
@@ -101,7 +101,7 @@
     (least, longest)
 }
 
-/// Orders all outdated targets to load at once.
+/// Orders all outdated targets to load at the same time.
 fn all_at_once(view: &LoadView<'_>) -> Vec<LoadOrder> {
     let behind = view.targets.iter().filter_map(|target| {
         let name = &target.entry.name;
