--- a/crates/godwitspool-steward/src/connection/mod.rs
+++ b/crates/godwitspool-steward/src/connection/mod.rs
@@ -1,3 +1,3 @@
-//! Modules whose state lives as long as one connection.
+//! State with the lifetime of one connection.
 
 pub(crate) mod answers;
--- a/crates/godwitspool-steward/src/process/mod.rs
+++ b/crates/godwitspool-steward/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Modules whose state lives as long as the process.
+//! State with the lifetime of the process.
 
 mod operators;
 mod outbox;
--- a/crates/godwitspool-steward/src/process/outbox.rs
+++ b/crates/godwitspool-steward/src/process/outbox.rs
@@ -57,7 +57,7 @@
                 godwitspool_types::Ran::NotRun => "refused",
                 _ => "answer-lost",
             });
-            log::warn!(records = batch.len(); "records not appended to the log: {error}");
+            log::warn!(records = batch.len(); "can't append records to the log: {error}");
             requeue(shared, batch);
         }
     }
--- a/crates/godwitspool-steward/src/process/steward.rs
+++ b/crates/godwitspool-steward/src/process/steward.rs
@@ -36,12 +36,12 @@
     version::{leases, lists, orders, usage, weights},
 };
 
-const APPEND_PERIOD: Millis = Millis(20);
-const LEASE_PERIOD: Millis = Millis(50);
-const LIST_PERIOD: Millis = Millis(200);
-const ORDER_PERIOD: Millis = Millis(200);
-const USAGE_PERIOD: Millis = Millis(200);
-const WEIGHT_PERIOD: Millis = Millis(50);
+const APPEND_INTERVAL: Millis = Millis(20);
+const LEASE_INTERVAL: Millis = Millis(50);
+const LIST_INTERVAL: Millis = Millis(200);
+const ORDER_INTERVAL: Millis = Millis(200);
+const USAGE_INTERVAL: Millis = Millis(200);
+const WEIGHT_INTERVAL: Millis = Millis(50);
 /// Number of times that another system-assigned port is tried.
 const MAX_BIND_RETRIES: usize = 16;
 /// Renewals per term: with 4, two consecutive ones may be lost.
@@ -86,7 +86,7 @@
             incarnation: incarnation(),
         };
         let (events, event_receiver) = mpsc::channel::<leases::Event>();
-        timer.every(LEASE_PERIOD, events.clone());
+        timer.every(LEASE_INTERVAL, events.clone());
         let own = MemberRecord::default()
             .with_host(settings.host.clone(), settings.dc.clone())
             .with_addresses(settings.entry, address)
@@ -131,11 +131,11 @@
             timer: Some(timer),
         };
         steward.spawn("leases", move |shared| leases::run(shared, &event_receiver))?;
-        steward.spawn_ticked("append", APPEND_PERIOD, outbox::run)?;
-        steward.spawn_ticked("lists", LIST_PERIOD, lists::run)?;
-        steward.spawn_ticked("orders", ORDER_PERIOD, orders::run)?;
-        steward.spawn_ticked("usage", USAGE_PERIOD, usage::run)?;
-        steward.spawn_ticked("weights", WEIGHT_PERIOD, weights::run)?;
+        steward.spawn_ticked("append", APPEND_INTERVAL, outbox::run)?;
+        steward.spawn_ticked("lists", LIST_INTERVAL, lists::run)?;
+        steward.spawn_ticked("orders", ORDER_INTERVAL, orders::run)?;
+        steward.spawn_ticked("usage", USAGE_INTERVAL, usage::run)?;
+        steward.spawn_ticked("weights", WEIGHT_INTERVAL, weights::run)?;
         Ok(steward)
     }
 
--- a/crates/godwitspool-steward/src/version/lists.rs
+++ b/crates/godwitspool-steward/src/version/lists.rs
@@ -22,11 +22,11 @@
     while let Ok(tick) = ticks.recv() {
         match shared.platform.targets() {
             Ok(list) => shared.current_view.set_targets(list.targets),
-            Err(error) => log::warn!("list of targets not read: {error}"),
+            Err(error) => log::warn!("can't read the list of targets: {error}"),
         }
         match shared.platform.hosts() {
             Ok(list) => shared.gossip.set_host_list(list.hosts),
-            Err(error) => log::warn!("list of hosts not read: {error}"),
+            Err(error) => log::warn!("can't read the list of hosts: {error}"),
         }
         shared.current_view.set_members(shared.gossip.members());
         if shared.leases.may_act(LeaseKind::Usage).is_some() {
--- a/crates/godwitspool-steward/src/version/mod.rs
+++ b/crates/godwitspool-steward/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! Modules whose state follows the versions of the log.
+//! State that follows the versions of the log.
 
 pub(crate) mod current_view;
 pub(crate) mod leases;
--- a/crates/godwitspool-steward/src/version/orders.rs
+++ b/crates/godwitspool-steward/src/version/orders.rs
@@ -189,7 +189,7 @@
         return;
     };
     if let Err(error) = shared.ask(member.steward, &StewardRequest::Demand(demand)) {
-        log::debug!("demand not forwarded: {error}");
+        log::debug!("can't forward demand: {error}");
     }
 }
 
--- a/crates/godwitspool-steward/src/version/weights.rs
+++ b/crates/godwitspool-steward/src/version/weights.rs
@@ -181,7 +181,7 @@
             status: 429 | 503, ..
         }) => SwapFailure::RateLimited,
         Err(error) => {
-            log::warn!(target_name:% = target; "weights not loaded: {error}");
+            log::warn!(target_name:% = target; "can't load weights: {error}");
             SwapFailure::Failed
         }
     };
--- a/crates/godwitspool-steward/tests/paused.rs
+++ b/crates/godwitspool-steward/tests/paused.rs
@@ -16,7 +16,9 @@
 
 use godwitspool_fakes::{Platform, free_address};
 use godwitspool_types::{HostName, Offset};
-use support::{check_orders, configuration, host_entry, orders, publish, start_platform, wait_for};
+use support::{
+    check_orders, configuration, host_entry, orders, publish, start_platform, wait_until,
+};
 
 const TERM_MS: u64 = 1_000;
 
@@ -75,7 +77,7 @@
 /// Publishes a higher floor and waits until there are as many targets.
 fn raise_floor(platform: &Platform, base: Option<Offset>, floor: u32) -> Offset {
     let published = publish(platform, base, &configuration(floor));
-    wait_for("the targets", || platform.targets().len() == floor as usize);
+    wait_until("the targets", || platform.targets().len() == floor as usize);
     published
 }
 
@@ -105,7 +107,7 @@
         floor += 2;
         let published = publish(&platform, base, &configuration(floor));
         paused.signal("-CONT");
-        wait_for("the targets", || platform.targets().len() == floor as usize);
+        wait_until("the targets", || platform.targets().len() == floor as usize);
         base = Some(published);
         thread::sleep(Duration::from_millis(TERM_MS));
         check_orders(&platform);
--- a/crates/godwitspool-steward/tests/steward.rs
+++ b/crates/godwitspool-steward/tests/steward.rs
@@ -22,7 +22,9 @@
 use godwitspool_steward::Steward;
 use godwitspool_types::{Millis, Offset, RequestId};
 use godwitspool_version::{Configuration, WorkspaceRules};
-use support::{check_orders, configuration, host_entry, orders, publish, start_platform, wait_for};
+use support::{
+    check_orders, configuration, host_entry, orders, publish, start_platform, wait_until,
+};
 
 const LONG_WINDOW: Millis = Millis(60_000);
 const TERM: Millis = Millis(1_000);
@@ -113,11 +115,11 @@
     let platform = start_platform();
     let first = publish(&platform, None, &configuration(2));
     let mut stewards = start_all(&platform, LONG_WINDOW);
-    wait_for("the first order", || platform.targets().len() == 2);
+    wait_until("the first order", || platform.targets().len() == 2);
     let killed = holder(&stewards, "orders").unwrap();
     drop(stewards.remove(killed));
     publish(&platform, Some(first), &configuration(5));
-    wait_for("the successor's order", || platform.targets().len() == 5);
+    wait_until("the successor's order", || platform.targets().len() == 5);
     check_orders(&platform);
     let sent = orders(&platform);
     assert!(sent.first().unwrap().term < sent.last().unwrap().term);
@@ -127,12 +129,12 @@
 fn a_lost_answer_doubles_no_order() {
     let platform = start_platform();
     let stewards = start_all(&platform, LONG_WINDOW);
-    wait_for("a holder", || holder(&stewards, "orders").is_some());
+    wait_until("a holder", || holder(&stewards, "orders").is_some());
     // Enough to cover the intent, the order and the outcome besides the lease renewals.
     platform.lose_answers(40);
     publish(&platform, None, &configuration(4));
-    wait_for("the targets", || platform.targets().len() == 4);
-    wait_for("the outcome", || {
+    wait_until("the targets", || platform.targets().len() == 4);
+    wait_until("the outcome", || {
         let status = stewards[0].status();
         let (open, last) = (&status["orders"]["open"], &status["orders"]["last"]);
         open.as_array().unwrap().is_empty() && !last.as_array().unwrap().is_empty()
@@ -147,18 +149,18 @@
     let platform = start_platform();
     let first = publish(&platform, None, &configuration(1));
     let stewards = start_all(&platform, LONG_WINDOW);
-    wait_for("the first order", || platform.targets().len() == 1);
+    wait_until("the first order", || platform.targets().len() == 1);
     platform.set_outage(true);
-    wait_for("no holder", || holder(&stewards, "orders").is_none());
+    wait_until("no holder", || holder(&stewards, "orders").is_none());
     let sent = orders(&platform).len();
     publish(&platform, Some(first), &configuration(3));
     // Entries still get the current configuration, with its age.
     let before = view(&stewards[0]).unwrap().configuration;
-    wait_for("the age", || view(&stewards[0]).unwrap().age_ms > 1_500);
+    wait_until("the age", || view(&stewards[0]).unwrap().age_ms > 1_500);
     assert_eq!(view(&stewards[0]).unwrap().configuration, before);
     assert_eq!(orders(&platform).len(), sent);
     platform.set_outage(false);
-    wait_for("the order after the outage", || {
+    wait_until("the order after the outage", || {
         platform.targets().len() == 3
     });
     check_orders(&platform);
@@ -168,7 +170,7 @@
 fn two_operators_who_race_end_in_one_configuration() {
     let platform = start_platform();
     let stewards = start_all(&platform, LONG_WINDOW);
-    wait_for("views", || {
+    wait_until("views", || {
         stewards.iter().all(|steward| view(steward).is_some())
     });
     let with_workspace = |name: &str| Configuration {
@@ -177,7 +179,7 @@
     };
     publish(&platform, None, &with_workspace("first"));
     let second = publish(&platform, None, &with_workspace("second"));
-    wait_for("both publishes everywhere", || {
+    wait_until("both publishes everywhere", || {
         let views = stewards.iter().filter_map(view);
         views.filter(|view| view.offset > second).count() == 3
     });
@@ -191,10 +193,10 @@
 fn a_graceful_end_releases_the_lease() {
     let platform = start_platform();
     let mut stewards = start_all(&platform, LONG_WINDOW);
-    wait_for("a holder", || holder(&stewards, "orders").is_some());
+    wait_until("a holder", || holder(&stewards, "orders").is_some());
     let left = holder(&stewards, "orders").unwrap();
     stewards.remove(left).stop();
-    wait_for("a successor", || holder(&stewards, "orders").is_some());
+    wait_until("a successor", || holder(&stewards, "orders").is_some());
     let records = platform.log(Offset(0)).into_iter();
     let releases = records.filter(|record| record.body.contains("release"));
     assert!(releases.count() >= 1);
@@ -205,10 +207,10 @@
     let platform = start_platform();
     let window = Millis(2_000);
     let mut stewards = start_all(&platform, window);
-    wait_for("members", || {
+    wait_until("members", || {
         stewards.iter().all(|steward| members(steward) == 3)
     });
-    wait_for("views", || {
+    wait_until("views", || {
         stewards.iter().all(|steward| view(steward).is_some())
     });
     let records = (1..=20).map(|sequence| usage("a", sequence)).collect();
@@ -218,7 +220,7 @@
     let records = (1..=5).map(|sequence| usage("b", sequence)).collect();
     ask(stewards[0].address(), &StewardRequest::HoldUsage(records));
     platform.lose_answers(2);
-    wait_for("all requests in reports", || {
+    wait_until("all requests in reports", || {
         reported_requests(&platform) >= 25
     });
     thread::sleep(Duration::from_millis(2 * window.0));
@@ -230,12 +232,12 @@
     let platform = start_platform();
     let names = ["a", "b", "c", "d", "e", "f"];
     let stewards = start_named(&platform, Millis(2_000), &names);
-    wait_for("members", || {
+    wait_until("members", || {
         stewards
             .iter()
             .all(|steward| members(steward) == names.len())
     });
-    wait_for("views", || {
+    wait_until("views", || {
         stewards.iter().all(|steward| view(steward).is_some())
     });
     for (name, steward) in names.iter().zip(&stewards) {
@@ -243,7 +245,7 @@
         ask(steward.address(), &StewardRequest::HoldUsage(records));
     }
     let all = 4 * names.len() as u64;
-    wait_for("all requests in reports", || {
+    wait_until("all requests in reports", || {
         reported_requests(&platform) >= all
     });
     assert_eq!(reported_requests(&platform), all);
--- a/crates/godwitspool-steward/tests/support/mod.rs
+++ b/crates/godwitspool-steward/tests/support/mod.rs
@@ -19,7 +19,7 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Waits until the condition holds and panics if it doesn't within [`WAIT_TIMEOUT`].
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "timed out waiting for: {what}");
