--- a/crates/godwitspool-fakes/src/engine_event.rs
+++ b/crates/godwitspool-fakes/src/engine_event.rs
@@ -49,7 +49,7 @@
     },
     /// A request other than a generation contained a caller's API key, at the given place.
     KeySeen(String),
-    /// A weight order was carried out, failed or was refused.
+    /// A weight order succeeded, failed or was refused.
     Swap {
         /// Whether the order took effect, whatever the response was.
         effective: bool,
--- a/crates/godwitspool-fakes/src/fleet.rs
+++ b/crates/godwitspool-fakes/src/fleet.rs
@@ -17,7 +17,7 @@
 /// The targets of the platform.
 #[derive(Debug, Default)]
 pub(crate) struct Fleet {
-    /// Answers to orders that were carried out, by order identifier.
+    /// Answers to orders that were executed, by order identifier.
     answers: BTreeMap<String, OrderAnswer>,
     classes: BTreeMap<ClassName, ClassOptions>,
     /// Billed time of ended targets, in milliseconds.
@@ -124,8 +124,8 @@
         Ok(fleet)
     }
 
-    /// Carries out an order, or returns the earlier answer if it was carried out before. A fenced
-    /// order doesn't count as carried out.
+    /// Executes an order, or returns the earlier answer if it was executed before. A fenced order
+    /// doesn't count as executed.
     pub(crate) fn order(&mut self, order: &TargetOrder, now_ms: u64) -> OrderAnswer {
         if let Some(answer) = self.answers.get(&order.order) {
             return answer.clone();
@@ -137,7 +137,7 @@
         answer
     }
 
-    /// Returns whether an order with this identifier was carried out before.
+    /// Returns whether an order with this identifier was executed before.
     pub(crate) fn has_order(&self, order: &str) -> bool {
         self.answers.contains_key(order)
     }
--- a/crates/godwitspool-fakes/src/main.rs
+++ b/crates/godwitspool-fakes/src/main.rs
@@ -7,12 +7,19 @@
 };
 use lexopt::prelude::*;
 
-const USAGE: &str = "godwitspool-fakes platform|engine|plain|scorer [--listen IP:PORT] \
-                     [--name NAME] [--model MODEL] [--weights VERSION] [--step-ms N] \
-                     [--targets FILE] [--hosts FILE]
+const HELP: &str = "\
+godwitspool-fakes platform|engine|plain|scorer [OPTION]...
 
-Fake services for trying out godwitspool. Each prints its address and runs until it is killed.
---targets and --hosts are JSON files with the platform's target list and host list.";
+Runs one fake service for trying out godwitspool. Prints its address and runs until it is killed.
+
+  --listen IP:PORT   address to listen on (default: 127.0.0.1 and any free port)
+  --name NAME        target name of an engine or plain service (default: target)
+  --model MODEL      model that an engine serves (default: model)
+  --weights VERSION  initial weight version of an engine (default: v1)
+  --step-ms N        base time of an engine's step, in milliseconds (default: 8)
+  --targets FILE     JSON file with targets that the platform lists
+  --hosts FILE       JSON file with the platform's host list
+  --help";
 const SLEEP_INTERVAL: Duration = Duration::from_hours(1);
 
 struct Arguments {
@@ -30,11 +37,11 @@
     let arguments = match parse() {
         Ok(Some(arguments)) => arguments,
         Ok(None) => {
-            println!("{USAGE}");
+            println!("{HELP}");
             return ExitCode::SUCCESS;
         }
         Err(error) => {
-            eprintln!("{error}\n{USAGE}");
+            eprintln!("{error}\n{HELP}");
             return ExitCode::from(2);
         }
     };
--- a/crates/godwitspool-fakes/src/platform_event.rs
+++ b/crates/godwitspool-fakes/src/platform_event.rs
@@ -30,7 +30,7 @@
         answer: OrderAnswer,
         /// Order as received.
         order: TargetOrder,
-        /// Whether an order with the same identifier was carried out before.
+        /// Whether an order with the same identifier was executed before.
         repeated: bool,
     },
     /// A target changed its state.
--- a/crates/godwitspool-fakes/src/platform_store.rs
+++ b/crates/godwitspool-fakes/src/platform_store.rs
@@ -23,13 +23,13 @@
     /// No fault.
     #[default]
     None,
-    /// The store responds with status 503 and doesn't carry the call out.
+    /// The store responds with status 503 and doesn't execute the call.
     Busy,
-    /// The store carries the call out and sends no response.
+    /// The store executes the call and sends no response.
     LoseAnswer,
-    /// The store neither carries the call out nor sends a response.
+    /// The store neither executes the call nor sends a response.
     Silent,
-    /// The store closes the connection without a response and doesn't carry the call out.
+    /// The store closes the connection without a response and doesn't execute the call.
     Reset,
 }
 
--- a/crates/godwitspool-fakes/tests/engine.rs
+++ b/crates/godwitspool-fakes/tests/engine.rs
@@ -76,7 +76,7 @@
     )
 }
 
-fn wait_for(mut done: impl FnMut() -> bool) {
+fn wait_until(mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
         assert!(
@@ -125,7 +125,7 @@
     .unwrap();
     thread::scope(|scope| {
         let long = scope.spawn(|| generate(&engine, &ask("long", 4_000)));
-        wait_for(|| !engine.history().is_empty());
+        wait_until(|| !engine.history().is_empty());
         let (_, done) = generate(&engine, &ask("a poison-prompt", 10));
         assert!(!done);
         assert!(!long.join().unwrap().1);
@@ -145,7 +145,7 @@
     .unwrap();
     thread::scope(|scope| {
         let silent = scope.spawn(|| generate(&engine, &ask("silent", 400)));
-        wait_for(|| !engine.history().is_empty());
+        wait_until(|| !engine.history().is_empty());
         engine.silence();
         assert!(generate(&engine, &ask("new", 10)).1);
         assert!(!silent.is_finished());
@@ -164,7 +164,7 @@
     params.request = "moving".into();
     let (chunks, kv) = thread::scope(|scope| {
         let first = scope.spawn(|| generate(&one, &params).0);
-        wait_for(|| !one.history().is_empty());
+        wait_until(|| !one.history().is_empty());
         thread::sleep(Duration::from_millis(30));
         let url = format!("http://{}/kv/moving/export", one.address());
         let mut answer = ureq::post(url).send_empty().unwrap();
@@ -189,9 +189,9 @@
     params.request = "gone".into();
     thread::scope(|scope| {
         let stream = scope.spawn(|| generate(&engine, &params).0);
-        wait_for(|| !engine.history().is_empty());
+        wait_until(|| !engine.history().is_empty());
         let url = format!("http://{}/v1/requests/gone", engine.address());
-        wait_for(|| ureq::delete(&url).call().is_ok());
+        wait_until(|| ureq::delete(&url).call().is_ok());
         let chunks = stream.join().unwrap();
         let last = chunks.last().unwrap();
         assert_eq!(last.choices[0].finish_reason, Some(Finish::Cancelled));
@@ -220,7 +220,7 @@
     let engine = Engine::start(quick()).unwrap();
     engine.set_swap_fault(SwapFault::Late);
     assert!(swap(&engine, "v2", 3).is_err());
-    wait_for(|| engine.weights() == WeightVersion::from("v2"));
+    wait_until(|| engine.weights() == WeightVersion::from("v2"));
 }
 
 #[rstest]
@@ -239,7 +239,7 @@
     let params = ask("swapped", 1_500);
     let chunks = thread::scope(|scope| {
         let stream = scope.spawn(|| generate(&engine, &params).0);
-        wait_for(|| !engine.history().is_empty());
+        wait_until(|| !engine.history().is_empty());
         thread::sleep(Duration::from_millis(30));
         swap(&engine, "v2", 1).unwrap();
         stream.join().unwrap()
@@ -281,7 +281,7 @@
             scope.spawn(move || generate(engine, &params));
         }
         let url = format!("http://{}/load", engine.address());
-        wait_for(|| {
+        wait_until(|| {
             let load: Load = ureq::get(&url)
                 .call()
                 .unwrap()
--- a/crates/godwitspool-fakes/tests/platform.rs
+++ b/crates/godwitspool-fakes/tests/platform.rs
@@ -85,7 +85,7 @@
     }
 }
 
-fn wait_for(mut done: impl FnMut() -> bool) {
+fn wait_until(mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
         assert!(
@@ -187,9 +187,9 @@
     let platform = Platform::start(engines(true)).unwrap();
     let _: OrderAnswer = post(&platform, "/orders", &order("1", 1, OrderAction::Start(1))).unwrap();
     let ordered = Instant::now();
-    wait_for(|| get::<TargetList>(&platform, "/targets").targets.len() == 2);
+    wait_until(|| get::<TargetList>(&platform, "/targets").targets.len() == 2);
     assert!(ordered.elapsed() >= MIN_LAG, "the list does not lag");
-    wait_for(|| {
+    wait_until(|| {
         let listed: TargetList = get(&platform, "/targets");
         listed
             .targets
@@ -200,7 +200,7 @@
     });
     let names = platform.reclaim(&Dc::from("gori"), 100);
     assert_eq!(names.len(), 2);
-    wait_for(|| get::<TargetList>(&platform, "/targets").targets.is_empty());
+    wait_until(|| get::<TargetList>(&platform, "/targets").targets.is_empty());
     assert!(platform.engines().iter().all(|engine| engine.is_crashed()));
     assert!(platform.billed_ms()["cheap"] > 0);
 }
@@ -210,7 +210,7 @@
     let platform = Platform::start(engines(true)).unwrap();
     let engine = platform.running_engines().remove(0);
     engine.crash();
-    wait_for(|| !engine.is_crashed());
+    wait_until(|| !engine.is_crashed());
 }
 
 #[test]
