--- a/crates/godwitspool-demo/src/main.rs
+++ b/crates/godwitspool-demo/src/main.rs
@@ -4,7 +4,7 @@
 
 use godwitspool_demo::{Command, DemoError, DemoOptions, Outcome, run};
 
-const USAGE: &str = "\
+const HELP: &str = "\
 godwitspool-demo [FOLDER] [--seconds N] [--seed N] [--faults LIST] [--json FILE] [--history FILE]
 
 Runs the deployment of an operators' folder (default: examples/habimana) in one process: an entry
@@ -13,21 +13,22 @@
   --faults LIST   all, none, or some of engine-crash, host-restart, key-withdrawal, log-outage,
                   lost-answer, partition, paused-holder, poison, reclaim, stream-silence,
                   swap-failure, separated by commas
-  --history FILE  write the observed events to FILE, one JSON object per line
-  --json FILE     write the figures to FILE as JSON
-  --quiet         print no progress during the run
+  --history FILE  writes the observed events to FILE, one JSON object per line
+  --json FILE     writes the figures to FILE as JSON
+  --quiet         prints no progress during the run
   --seconds N     how long callers and trainers run, in seconds (default: 15)
   --seed N        seed of the fault schedule (default: 1)
   --help
   --version
 
-Exits with status 1 if a promise was broken, and prints the lines of the history that show it.";
+Exit status: 0 done, 1 a promise was broken or the run failed, 2 findings in the folder or on the
+command line. For a broken promise, the lines of the history that show it are printed.";
 
 fn main() -> ExitCode {
     let options = match Command::parse(std::env::args_os().skip(1)) {
         Ok(Command::Run(options)) => options,
         Ok(Command::Help) => {
-            println!("{USAGE}");
+            println!("{HELP}");
             return ExitCode::SUCCESS;
         }
         Ok(Command::Version) => {
@@ -35,7 +36,7 @@
             return ExitCode::SUCCESS;
         }
         Err(error) => {
-            eprintln!("{error}\n\n{USAGE}");
+            eprintln!("{error}\n\n{HELP}");
             return ExitCode::from(2);
         }
     };
