--- a/crates/godwitspool-entry/src/connection/answer.rs
+++ b/crates/godwitspool-entry/src/connection/answer.rs
@@ -78,7 +78,7 @@
 
     /// Sends an error event and ends the answer without the terminator.
     ///
-    /// `tiny_http` keeps the connection open, so only the end of the body tells the caller that the
+    /// `tiny_http` keeps the connection open, so only the end of the body shows the caller that the
     /// answer has ended.
     pub(crate) fn fail(mut self, event: &impl Serialize) -> io::Result<()> {
         self.send(event)?;
@@ -99,7 +99,7 @@
 
 /// Sends the answer to one request.
 ///
-/// As long as nothing has been sent, a refusal is a response of its own. Afterwards the answer is a
+/// Until something has been sent, a refusal is a separate response. Afterwards the answer is a
 /// stream, which ends with the terminator or with an error event.
 #[derive(Debug)]
 pub(crate) struct Responder {
--- a/crates/godwitspool-entry/src/connection/callers.rs
+++ b/crates/godwitspool-entry/src/connection/callers.rs
@@ -18,7 +18,7 @@
     rollout::trainers,
 };
 
-/// Further requests are refused with `queue-full`.
+/// Maximum number of requests in progress. Further ones are refused with `queue-full`.
 const MAX_IN_PROGRESS: usize = 2_000;
 
 /// The listener's thread. Dropping this value stops the listener and joins the thread.
@@ -69,7 +69,7 @@
         .name("late-callers".to_owned())
         .spawn(refuse);
     if let Err(error) = spawned {
-        log::debug!("cannot spawn the thread that refuses late callers: {error}");
+        log::debug!("can't start the thread that refuses late callers: {error}");
     }
 }
 
@@ -87,7 +87,7 @@
             drop(guard);
         });
     if let Err(error) = spawned {
-        log::error!("cannot spawn a thread for a request: {error}");
+        log::error!("can't start a thread for a request: {error}");
     }
 }
 
--- a/crates/godwitspool-entry/src/lib.rs
+++ b/crates/godwitspool-entry/src/lib.rs
@@ -1,6 +1,6 @@
 //! The entry daemon: callers, trainers, routing, streams and rollouts.
 //!
-//! An [`Entry`] answers callers over HTTP without calling the platform. Everything it knows about
+//! An [`Entry`] answers callers over HTTP without calling the platform. All its information about
 //! configuration, hosts and targets comes from stewards as a
 //! [`View`](godwitspool_connection::messages::View).
 //!
--- a/crates/godwitspool-entry/src/main.rs
+++ b/crates/godwitspool-entry/src/main.rs
@@ -9,7 +9,7 @@
 godwitspool-entry SETTINGS.yaml [--check]
 
 Answers callers and trainers. SIGTERM drains: the entry accepts no new work and
-finishes what is in progress. A second SIGTERM stops it at once.
+finishes what is in progress. A second SIGTERM stops it immediately.
 
   --check     checks the settings and exits, with status 2 if there are findings
   --help
--- a/crates/godwitspool-entry/src/process/demand.rs
+++ b/crates/godwitspool-entry/src/process/demand.rs
@@ -34,7 +34,7 @@
     let steward = Link::<StewardRequest, StewardAnswer>::new(shared.settings.steward, bounds);
     while !shared.stopped() {
         if let Err(error) = steward.call(&StewardRequest::Demand(demand(shared))) {
-            log::debug!("cannot report demand to the steward: {error}");
+            log::debug!("can't report demand to the steward: {error}");
         }
         thread::sleep(REPORT_INTERVAL);
     }
--- a/crates/godwitspool-entry/src/process/entry.rs
+++ b/crates/godwitspool-entry/src/process/entry.rs
@@ -50,7 +50,7 @@
     /// Binds the addresses of the settings, starts the threads and follows the stewards.
     ///
     /// # Errors
-    /// An address can't be bound or a thread can't be started.
+    /// Fails if an address can't be bound or a thread can't be started.
     pub fn start(settings: EntrySettings) -> io::Result<Self> {
         let listener = TcpListener::bind(settings.callers)?;
         let address = listener.local_addr()?;
@@ -105,7 +105,7 @@
     /// The entry reports that it isn't ready, and serves new requests for a grace period until the
     /// load balancer has noticed. Then it refuses new requests and waits for those in progress. The
     /// wait ends after `timeout` in all, or as soon as `interrupted` is set. Finally the entry
-    /// hands over the idempotency keys that it keeps to other hosts.
+    /// hands over its idempotency keys to other hosts.
     ///
     /// Returns the number of requests that were still in progress at the end.
     pub fn drain(&self, timeout: Duration, interrupted: &AtomicBool) -> usize {
@@ -144,7 +144,7 @@
             // The result of a panicked thread isn't needed.
             drop(thread.join());
         }
-        // The listener stops last, so that late callers are told that their request didn't run.
+        // The listener stops last, so that late callers get the answer that their request didn't run.
         self.callers = None;
     }
 }
--- a/crates/godwitspool-entry/src/process/serving.rs
+++ b/crates/godwitspool-entry/src/process/serving.rs
@@ -121,7 +121,7 @@
         Ok(EntryAnswer::Serving(answer)) => Some(answer),
         Ok(_) => None,
         Err(error) => {
-            log::debug!(host:%; "cannot call the entry: {error}");
+            log::debug!(host:%; "can't call the entry: {error}");
             None
         }
     }
--- a/crates/godwitspool-entry/src/process/shared.rs
+++ b/crates/godwitspool-entry/src/process/shared.rs
@@ -152,7 +152,7 @@
     }
 }
 
-/// Counts a request as in flight on a target while the guard lives.
+/// Counts a request as in flight on a target until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct TargetGuard {
     id: Option<TargetId>,
@@ -177,7 +177,7 @@
     }
 }
 
-/// Counts a caller's request as in progress while the guard lives.
+/// Counts a caller's request as in progress until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct RequestGuard {
     shared: Arc<Shared>,
--- a/crates/godwitspool-entry/src/request/dispatch.rs
+++ b/crates/godwitspool-entry/src/request/dispatch.rs
@@ -382,7 +382,7 @@
         })
     }
 
-    /// Wakes the thread of a waiting request. When that thread has given up, the target's load is
+    /// Wakes the thread of a waiting request. If that thread no longer waits, the target's load is
     /// reduced again.
     fn notify(&mut self, request: RequestId, outcome: Result<Assignment, Refusal>) {
         let Some(waiter) = self.waiters.remove(&request) else {
--- a/crates/godwitspool-entry/src/request/generation.rs
+++ b/crates/godwitspool-entry/src/request/generation.rs
@@ -148,7 +148,7 @@
     generate: Generate,
     open: OpenGuard,
     shared: Arc<Shared>,
-    /// Time for the whole request, counted anew when an attempt fails after tokens have arrived.
+    /// Time limit of the request. It starts again when an attempt fails after tokens have arrived.
     time_limit: Millis,
     assembler: AnswerAssembler,
     admitted: AdmittedRequest,
@@ -212,7 +212,7 @@
             .dispatch
             .set_idle_timeouts(&target, idle_timeouts);
         if let Err(CallError::Silent { .. }) = &ended {
-            // Other pooled connections to the target may be dead too, so the next request opens a
+            // Other pooled connections to the target may be broken too, so the next request opens a
             // new one.
             self.shared
                 .client(self.admitted.assignment.address)
@@ -310,7 +310,7 @@
     }
 
     /// Returns the target's client. A request that must not run twice gets a client of its own,
-    /// with no pooled connections, since one of those may be dead.
+    /// with no pooled connections, since one of those may be broken.
     fn client(&self) -> TargetClient {
         let address = self.admitted.assignment.address;
         if self.admitted.work.attempts.idempotent {
--- a/crates/godwitspool-entry/src/request/idempotency.rs
+++ b/crates/godwitspool-entry/src/request/idempotency.rs
@@ -119,7 +119,7 @@
                 key: key_to_wire(&self.key),
             };
             if serving::call(&self.shared, home, request).is_none() {
-                log::warn!(home:%; "cannot record the fate of an idempotency key");
+                log::warn!(home:%; "can't record the fate of an idempotency key");
             }
         }
     }
@@ -220,7 +220,7 @@
     for (home, item) in handovers {
         let request = ServingRequest::HandOver(vec![item_to_wire(item)]);
         if serving::call(shared, &home, request).is_none() {
-            log::warn!(home:%; "cannot hand over the record of an idempotency key");
+            log::warn!(home:%; "can't hand over the record of an idempotency key");
         }
     }
 }
--- a/crates/godwitspool-entry/src/request/journal.rs
+++ b/crates/godwitspool-entry/src/request/journal.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 const MAX_REQUESTS: usize = 20_000;
-/// Later steps of a request are dropped.
+/// Maximum number of recorded steps of a request. Later ones are dropped.
 const MAX_STEPS_PER_REQUEST: usize = 64;
 
 /// One decision on a request.
--- a/crates/godwitspool-entry/src/request/quota.rs
+++ b/crates/godwitspool-entry/src/request/quota.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Quota(Mutex<State>);
 
-/// Counts a request against the limits of its workspace while the guard lives.
+/// Counts a request against the limits of its workspace until the guard is dropped.
 #[derive(Debug)]
 pub(crate) struct QuotaGuard {
     shared: Arc<Shared>,
--- a/crates/godwitspool-entry/src/request/suspicion.rs
+++ b/crates/godwitspool-entry/src/request/suspicion.rs
@@ -145,7 +145,7 @@
         };
         let home = shared.serving.home(shared, blame.fingerprint);
         if serving::call(shared, &home, request).is_none() {
-            log::warn!(home:%; "cannot report a crash to the home host of a suspect");
+            log::warn!(home:%; "can't report a crash to the home host of a suspect");
         }
         // The next attempt on this host must find the suspicion before the announcement arrives.
         let now = shared.serving.now();
@@ -172,7 +172,7 @@
         print: fingerprint,
     };
     if serving::call(shared, &home, request).is_none() {
-        log::warn!(home:%; "cannot report the end of a trial to the home host");
+        log::warn!(home:%; "can't report the end of a trial to the home host");
     }
 }
 
@@ -264,7 +264,7 @@
             }
         });
     if let Err(error) = spawned {
-        log::error!("cannot spawn the thread that announces a suspect: {error}");
+        log::error!("can't start the thread that announces a suspect: {error}");
     }
 }
 
--- a/crates/godwitspool-entry/src/rollout/dispatch.rs
+++ b/crates/godwitspool-entry/src/rollout/dispatch.rs
@@ -68,7 +68,7 @@
         .name("sample".to_owned())
         .spawn(move || stream.run(&shared));
     if let Err(error) = spawned {
-        log::error!("cannot spawn a thread for a sample: {error}");
+        log::error!("can't start a thread for a sample: {error}");
     }
 }
 
--- a/crates/godwitspool-entry/src/rollout/outbox.rs
+++ b/crates/godwitspool-entry/src/rollout/outbox.rs
@@ -48,7 +48,7 @@
         .name("rollout-peer".to_owned())
         .spawn(move || deliver(&shared, &to, &receiver));
     if let Err(error) = spawned {
-        log::error!("cannot spawn a thread for messages to another host: {error}");
+        log::error!("can't start a thread for messages to another host: {error}");
     }
     sender
 }
@@ -66,7 +66,7 @@
         };
         let request = EntryRequest::Rollout(message);
         if let Err(error) = shared.links.to(member.entry).call(&request) {
-            log::debug!(host:% = to; "cannot deliver a rollout message: {error}");
+            log::debug!(host:% = to; "can't deliver a rollout message: {error}");
         }
     }
 }
--- a/crates/godwitspool-entry/src/rollout/portions.rs
+++ b/crates/godwitspool-entry/src/rollout/portions.rs
@@ -9,7 +9,7 @@
 use godwitspool_connection::messages::{Portion, TargetLoad};
 use godwitspool_types::{HostName, Millis, ServiceName, TargetName, WeightVersion};
 
-/// Older reports are ignored.
+/// Age from which on a report is ignored.
 const REPORT_TTL: Millis = Millis(2_000);
 
 /// The latest reports of other hosts' training and of the targets' loads.
--- a/crates/godwitspool-entry/src/rollout/rollouts.rs
+++ b/crates/godwitspool-entry/src/rollout/rollouts.rs
@@ -411,7 +411,7 @@
             None
         }
         Err(error) => {
-            log::debug!(host:% = home; "cannot call the home host: {error}");
+            log::debug!(host:% = home; "can't call the home host: {error}");
             None
         }
     }
--- a/crates/godwitspool-entry/src/rollout/scores.rs
+++ b/crates/godwitspool-entry/src/rollout/scores.rs
@@ -95,7 +95,7 @@
         });
     if let Err(error) = spawned {
         // Scoring repeats the call after its timeout.
-        log::error!("cannot spawn a thread for a call to a scorer: {error}");
+        log::error!("can't start a thread for a call to a scorer: {error}");
     }
 }
 
--- a/crates/godwitspool-entry/src/rollout/stream.rs
+++ b/crates/godwitspool-entry/src/rollout/stream.rs
@@ -139,7 +139,7 @@
         match self.client.export(&self.running.request) {
             Ok(handle) => StreamEnd::Exported(Some(handle)),
             Err(error) => {
-                log::debug!(sample:% = self.running.id; "cannot export the KV cache: {error}");
+                log::debug!(sample:% = self.running.id; "can't export the KV cache: {error}");
                 StreamEnd::Moved
             }
         }
--- a/crates/godwitspool-entry/src/version/feed.rs
+++ b/crates/godwitspool-entry/src/version/feed.rs
@@ -55,14 +55,14 @@
             }
             Ok(answer) => {
                 log::info!(
-                    "steward {} did not answer with a view: {answer:?}",
+                    "steward {} didn't answer with a view: {answer:?}",
                     link.address()
                 );
                 return;
             }
             Err(error) => {
                 log::warn!(
-                    "cannot get the view from steward {}: {error}",
+                    "can't get the view from steward {}: {error}",
                     link.address()
                 );
                 return;
--- a/crates/godwitspool-entry/tests/ending.rs
+++ b/crates/godwitspool-entry/tests/ending.rs
@@ -1,4 +1,4 @@
-//! Shutdown of an entry: every call made meanwhile is answered or finds the port closed.
+//! Shutdown of an entry: every call made during the shutdown is answered or finds the port closed.
 
 use std::{
     net::SocketAddr,
--- a/crates/godwitspool-entry/tests/rollouts.rs
+++ b/crates/godwitspool-entry/tests/rollouts.rs
@@ -15,7 +15,7 @@
 use godwitspool_connection::platform::{TargetEntry, TargetState};
 use godwitspool_fakes::{Engine, EngineEvent, Scorer, SwapFault};
 use serde_json::{Value, json};
-use trainer_system::{System, agent, check, configuration, hash_of, number, read, wait};
+use trainer_system::{System, agent, check, configuration, hash_of, number, read, wait_until};
 
 #[test]
 fn a_step_comes_whole_through_any_entry() {
@@ -60,7 +60,7 @@
     let system = System::start(2, 3, "");
     system.submit(0, 1);
     let engines = system.platform.engines();
-    wait(|| engines.iter().any(|engine| !engine.history().is_empty()));
+    wait_until(|| engines.iter().any(|engine| !engine.history().is_empty()));
     thread::sleep(Duration::from_millis(100));
     engines[0].crash();
     engines[1].silence();
@@ -76,7 +76,7 @@
         system.submit(1, 2);
         let first = system.fetch(0, 1);
         system.kill(victim);
-        assert_eq!(system.fetch(0, 1), first, "host {victim} died");
+        assert_eq!(system.fetch(0, 1), first, "host {victim} was killed");
         system.acknowledge(1, 1, &first);
         let second = system.fetch(1, 2);
         check(2, &second);
@@ -102,7 +102,7 @@
     let system = System::start(1, 3, "");
     system.submit(0, 1);
     let engines = system.platform.engines();
-    wait(|| engines.iter().any(|engine| !engine.history().is_empty()));
+    wait_until(|| engines.iter().any(|engine| !engine.history().is_empty()));
     let targets: Vec<TargetEntry> = system
         .platform
         .targets()
@@ -182,7 +182,7 @@
         system.submit(0, step);
         configuration = system.publish_weights(&configuration, version);
         let healthy = &engines[2..];
-        wait(|| {
+        wait_until(|| {
             healthy
                 .iter()
                 .all(|engine| engine.weights().as_str() == version)
@@ -196,7 +196,7 @@
     engines[0].set_swap_fault(SwapFault::None);
     engines[1].set_swap_fault(SwapFault::None);
     system.publish_weights(&configuration, "v5");
-    wait(|| {
+    wait_until(|| {
         engines
             .iter()
             .all(|engine| engine.weights().as_str() == "v5")
--- a/crates/godwitspool-entry/tests/trainer_system/mod.rs
+++ b/crates/godwitspool-entry/tests/trainer_system/mod.rs
@@ -106,7 +106,7 @@
         };
         (0..hosts).for_each(|host| system.add(host));
         system.platform.set_hosts(system.hosts.clone());
-        wait(|| system.entries.iter().flatten().all(Entry::ready));
+        wait_until(|| system.entries.iter().flatten().all(Entry::ready));
         system
     }
 
@@ -150,7 +150,7 @@
         next
     }
 
-    /// Stops a host at once. The platform's list of hosts follows after its lag.
+    /// Stops a host immediately. The platform's list of hosts follows after its lag.
     pub fn kill(&mut self, host: usize) {
         self.entries[host] = None;
         self.stewards[host] = None;
@@ -199,14 +199,14 @@
             })
             .collect();
         let body = json!({ "groups": groups, "total": GROUPS });
-        wait(|| self.post(at, &format!("{step}/groups"), &body).0 == 200);
+        wait_until(|| self.post(at, &format!("{step}/groups"), &body).0 == 200);
     }
 
     /// Fetches the batch once it is complete, from any entry.
     #[track_caller]
     pub fn fetch(&self, at: usize, step: u64) -> Value {
         let mut batch = Value::Null;
-        wait(|| {
+        wait_until(|| {
             let (status, body) = self.get(at, &format!("{step}/batch?wait_ms=1000"));
             batch = body;
             status == 200
@@ -218,7 +218,7 @@
     pub fn acknowledge(&self, at: usize, step: u64, batch: &Value) {
         let body = json!({ "digest": batch["digest"] });
         let mut answer = (0, Value::Null);
-        wait(|| {
+        wait_until(|| {
             answer = self.post(at, &format!("{step}/ack"), &body);
             answer.0 != 503 && answer.0 != 0
         });
@@ -247,7 +247,7 @@
 }
 
 #[track_caller]
-pub fn wait(mut is_done: impl FnMut() -> bool) {
+pub fn wait_until(mut is_done: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
     while !is_done() {
         assert!(
