--- a/crates/godwitspool-connection/src/peer/server.rs
+++ b/crates/godwitspool-connection/src/peer/server.rs
@@ -24,7 +24,7 @@
 
 /// Pause after a failed accept, so that a lasting error, such as a lack of file descriptors,
 /// doesn't cause a busy loop.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Timeouts and limits of a [`Server`].
 #[derive(Clone, Copy, Debug)]
@@ -234,7 +234,7 @@
                 Err(error) => {
                     self.shared.accept_errors.fetch_add(1, Ordering::Relaxed);
                     log::warn!("can't accept a connection: {error}");
-                    thread::sleep(ACCEPT_BACKOFF);
+                    thread::sleep(ACCEPT_RETRY_DELAY);
                     continue;
                 }
             };
--- a/crates/godwitspool-process/src/http_listener.rs
+++ b/crates/godwitspool-process/src/http_listener.rs
@@ -20,7 +20,7 @@
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Limit on the time for which [`HttpListener::next_after_stop`] returns requests.
 const AFTER_STOP_TIMEOUT: Duration = Duration::from_secs(5);
-const REOPEN_BACKOFF: Duration = Duration::from_millis(50);
+const REOPEN_DELAY: Duration = Duration::from_millis(50);
 /// The standard library's backlog of 128 makes clients in a burst wait for a second.
 const BACKLOG: i32 = 1_024;
 /// Keepalive time and TCP user timeout of a connection, so that those of unreachable clients end.
@@ -140,12 +140,10 @@
         }
         self.reopened.fetch_add(1, Ordering::Relaxed);
         log::warn!(address:% = self.address; "can't accept a connection: {error}");
-        thread::sleep(REOPEN_BACKOFF);
+        thread::sleep(REOPEN_DELAY);
         match open(&self.listener) {
             Ok(opened) => *server = Arc::new(opened),
-            Err(error) => {
-                log::warn!(address:% = self.address; "can't reopen the listening socket: {error}");
-            }
+            Err(error) => log::warn!(address:% = self.address; "can't reopen listener: {error}"),
         }
     }
 
--- a/crates/godwitspool-request/src/admission.rs
+++ b/crates/godwitspool-request/src/admission.rs
@@ -61,7 +61,7 @@
 /// Half-life of the slot time that a workspace has received.
 const HALF_LIFE: Millis = Millis(10_000);
 /// Weight of a new value in a moving mean.
-const MEAN_WEIGHT: f64 = 0.1;
+const MEAN_SMOOTHING: f64 = 0.1;
 
 /// Admission of the interactive requests of one service.
 ///
@@ -262,6 +262,6 @@
     if *mean == 0.0 {
         *mean = value;
     } else {
-        *mean += (value - *mean) * MEAN_WEIGHT;
+        *mean += (value - *mean) * MEAN_SMOOTHING;
     }
 }
--- a/crates/godwitspool-request/src/silence.rs
+++ b/crates/godwitspool-request/src/silence.rs
@@ -43,7 +43,7 @@
     /// Multiple of the mean gap that the timeout allows for.
     const MEAN_GAP_FACTOR: f64 = 25.0;
     /// Weight of a new gap in the moving mean.
-    const MEAN_WEIGHT: f64 = 0.05;
+    const MEAN_SMOOTHING: f64 = 0.05;
     /// Factor by which the longest gap decays with each further gap.
     const MAX_GAP_DECAY: f64 = 0.995;
 
@@ -75,7 +75,7 @@
     pub fn observe(&mut self, gap: Millis) {
         let gap_ms = gap.0 as f64;
         self.count = self.count.saturating_add(1);
-        let weight = Self::MEAN_WEIGHT.max(1.0 / f64::from(self.count));
+        let weight = Self::MEAN_SMOOTHING.max(1.0 / f64::from(self.count));
         self.mean_gap_ms += (gap_ms - self.mean_gap_ms) * weight;
         self.max_gap_ms = (self.max_gap_ms * Self::MAX_GAP_DECAY).max(gap_ms);
     }
--- a/crates/godwitspool-request/src/target.rs
+++ b/crates/godwitspool-request/src/target.rs
@@ -42,7 +42,7 @@
 }
 
 /// Weight of a new report in the moving mean of the load from other hosts.
-const REPORT_WEIGHT: f32 = 0.05;
+const REPORT_SMOOTHING: f32 = 0.05;
 
 /// A target with its load.
 #[derive(Clone, Debug, Default)]
@@ -81,7 +81,7 @@
         // Without the mean, all hosts would change their choice together after each report and the
         // load would oscillate.
         let mean = self.others_mean.unwrap_or(others);
-        let mean = mean + (others - mean) * REPORT_WEIGHT;
+        let mean = mean + (others - mean) * REPORT_SMOOTHING;
         self.others_mean = Some(mean);
         self.others = mean.round() as u32;
         self.own_before = self.own;
--- a/crates/godwitspool-version/src/scaling/service_state.rs
+++ b/crates/godwitspool-version/src/scaling/service_state.rs
@@ -5,7 +5,7 @@
 use crate::ScalingRules;
 
 /// Weight of a new observation in the moving mean of the time of a sample.
-const MEAN_WEIGHT: f64 = 0.05;
+const MEAN_SMOOTHING: f64 = 0.05;
 
 /// Observed work for a service in a data centre.
 #[derive(Clone, Copy, Debug, Default)]
@@ -37,7 +37,7 @@
         if finished > 0 && busy > 0 {
             let observed_ms = f64::from(busy) * elapsed.0 as f64 / f64::from(finished);
             let previous_ms = self.sample_ms.unwrap_or(observed_ms);
-            self.sample_ms = Some(previous_ms + MEAN_WEIGHT * (observed_ms - previous_ms));
+            self.sample_ms = Some(previous_ms + MEAN_SMOOTHING * (observed_ms - previous_ms));
         }
         self.training = training;
     }
