--- a/crates/godwitspool-process/src/membership.rs
+++ b/crates/godwitspool-process/src/membership.rs
@@ -30,7 +30,9 @@
 mod table;
 
 pub use core::{Membership, MembershipAction, MembershipCounts, MembershipEvent};
-pub use datagram::{Answered, DATAGRAM_BYTES, Datagram, DatagramError, DcHeard, Hints, Message};
+pub use datagram::{
+    Answered, Datagram, DatagramError, DcContact, Hints, MAX_DATAGRAM_BYTES, Message,
+};
 pub use gossip::{Gossip, GossipCounts, GossipEvent};
 pub use queue::{Rumor, RumorBody};
 pub use record::{Health, MemberRecord};
--- a/crates/godwitspool-process/src/membership/datagram.rs
+++ b/crates/godwitspool-process/src/membership/datagram.rs
@@ -8,7 +8,7 @@
 use super::{MemberRecord, Rumor};
 
 /// Largest encoded datagram, in bytes.
-pub const DATAGRAM_BYTES: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 const CHECKSUM_BYTES: usize = 4;
 
 /// One message, with membership updates piggybacked on it.
@@ -24,7 +24,7 @@
     /// Highest positions in the log known to the sender.
     pub hints: Hints,
     /// Last contact with each other data centre; empty in datagrams to other data centres.
-    pub heard: Vec<DcHeard>,
+    pub heard: Vec<DcContact>,
     /// Records of other hosts.
     pub updates: Vec<MemberRecord>,
     /// Rumors that are not about hosts.
@@ -104,7 +104,7 @@
 
 /// Time since the last contact with another data centre.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct DcHeard {
+pub struct DcContact {
     /// The other data centre.
     pub dc: Dc,
     /// Time since a datagram was received from it.
@@ -140,8 +140,8 @@
         /// Error of the deserializer.
         source: postcard::Error,
     },
-    /// Larger than [`DATAGRAM_BYTES`].
-    #[snafu(display("datagram of {bytes} bytes exceeds the limit of {DATAGRAM_BYTES}"))]
+    /// Larger than [`MAX_DATAGRAM_BYTES`].
+    #[snafu(display("datagram of {bytes} bytes exceeds the limit of {MAX_DATAGRAM_BYTES} bytes"))]
     Oversize {
         /// Size of the datagram.
         bytes: usize,
@@ -153,12 +153,12 @@
     ///
     /// # Errors
     ///
-    /// Fails if the encoded datagram exceeds [`DATAGRAM_BYTES`].
+    /// Fails if the encoded datagram exceeds [`MAX_DATAGRAM_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, DatagramError> {
         let space = vec![0; CHECKSUM_BYTES];
         let mut bytes = postcard::to_extend(self, space).context(EncodeSnafu)?;
         ensure!(
-            bytes.len() <= DATAGRAM_BYTES,
+            bytes.len() <= MAX_DATAGRAM_BYTES,
             OversizeSnafu { bytes: bytes.len() }
         );
         let checksum = checksum(&bytes[CHECKSUM_BYTES..]);
@@ -174,7 +174,7 @@
     /// deserialized.
     pub fn decode(bytes: &[u8]) -> Result<Self, DatagramError> {
         let size = bytes.len();
-        ensure!(size <= DATAGRAM_BYTES, OversizeSnafu { bytes: size });
+        ensure!(size <= MAX_DATAGRAM_BYTES, OversizeSnafu { bytes: size });
         let (sum, body) = bytes
             .split_first_chunk::<CHECKSUM_BYTES>()
             .context(ShortSnafu { bytes: size })?;
--- a/crates/godwitspool-process/src/membership/gossip.rs
+++ b/crates/godwitspool-process/src/membership/gossip.rs
@@ -16,8 +16,8 @@
 use godwitspool_types::Dc;
 
 use super::{
-    DATAGRAM_BYTES, Datagram, Hints, MemberRecord, Membership, MembershipAction, MembershipCounts,
-    MembershipEvent, MembershipRules, RumorBody,
+    Datagram, Hints, MAX_DATAGRAM_BYTES, MemberRecord, Membership, MembershipAction,
+    MembershipCounts, MembershipEvent, MembershipRules, RumorBody,
 };
 use crate::{Clock, CounterSample, Metrics};
 
@@ -221,7 +221,7 @@
     fn run<Event: From<GossipEvent>>(&self, subscriber: &Sender<Event>) {
         // One byte more than the limit, so that an oversized datagram fails to decode instead of
         // being truncated.
-        let mut buffer = [0; DATAGRAM_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let mut last_tick = self.clock.now();
         while !self.stopped.load(Ordering::Acquire) {
             let mut events = Vec::new();
--- a/crates/godwitspool-process/src/membership/remote.rs
+++ b/crates/godwitspool-process/src/membership/remote.rs
@@ -6,8 +6,8 @@
 use rand::{Rng, seq::IndexedRandom};
 
 use super::{
-    DATAGRAM_BYTES, Datagram, DcHeard, Health, MemberRecord, Membership, MembershipAction, Message,
-    core::send, table::rank,
+    Datagram, DcContact, Health, MAX_DATAGRAM_BYTES, MemberRecord, Membership, MembershipAction,
+    Message, core::send, table::rank,
 };
 
 /// Space in a datagram reserved for its message, numbers and length prefixes.
@@ -36,9 +36,12 @@
         } else {
             Vec::new()
         };
-        let heard_bytes: usize = heard.iter().map(|heard| heard.dc.as_str().len() + 12).sum();
+        let heard_bytes: usize = heard
+            .iter()
+            .map(|contact| contact.dc.as_str().len() + 12)
+            .sum();
         let used = FRAME_OVERHEAD_BYTES + self.own.bytes() + heard_bytes;
-        let mut room = DATAGRAM_BYTES.saturating_sub(used);
+        let mut room = MAX_DATAGRAM_BYTES.saturating_sub(used);
         let max_sends = self.rules.max_sends(self.table.local().count() + 1);
         let mut updates = Vec::new();
         let about = to.and_then(|to| self.table.get(&to.host));
@@ -232,9 +235,9 @@
             self.last_contact.insert(sender.clone(), now);
             return;
         }
-        for heard in &datagram.heard {
-            let at = now - (heard.age + MAX_HOP_DELAY);
-            let known = self.last_contact.entry(heard.dc.clone()).or_insert(at);
+        for contact in &datagram.heard {
+            let at = now - (contact.age + MAX_HOP_DELAY);
+            let known = self.last_contact.entry(contact.dc.clone()).or_insert(at);
             *known = at.max(*known);
         }
     }
@@ -257,13 +260,13 @@
         }
     }
 
-    fn contact_ages(&self, now: Millis) -> Vec<DcHeard> {
-        let heard = self.last_contact.iter().map(|(dc, at)| DcHeard {
+    fn contact_ages(&self, now: Millis) -> Vec<DcContact> {
+        let contacts = self.last_contact.iter().map(|(dc, at)| DcContact {
             dc: dc.clone(),
             age: now - *at,
         });
-        heard
-            .filter(|heard| heard.age < self.rules.remote_timeout)
+        contacts
+            .filter(|contact| contact.age < self.rules.remote_timeout)
             .collect()
     }
 }
