--- a/crates/godwitspool-process/src/membership/remote.rs
+++ b/crates/godwitspool-process/src/membership/remote.rs
@@ -38,7 +38,7 @@
         };
         let heard_bytes: usize = heard
             .iter()
-            .map(|contact| contact.dc.as_str().len() + 12)
+            .map(|dc_contact| dc_contact.dc.as_str().len() + 12)
             .sum();
         let used = FRAME_OVERHEAD_BYTES + self.own.bytes() + heard_bytes;
         let mut room = MAX_DATAGRAM_BYTES.saturating_sub(used);
@@ -235,9 +235,9 @@
             self.last_contact.insert(sender.clone(), now);
             return;
         }
-        for contact in &datagram.heard {
-            let at = now - (contact.age + MAX_HOP_DELAY);
-            let known = self.last_contact.entry(contact.dc.clone()).or_insert(at);
+        for dc_contact in &datagram.heard {
+            let at = now - (dc_contact.age + MAX_HOP_DELAY);
+            let known = self.last_contact.entry(dc_contact.dc.clone()).or_insert(at);
             *known = at.max(*known);
         }
     }
@@ -266,7 +266,7 @@
             age: now - *at,
         });
         contacts
-            .filter(|contact| contact.age < self.rules.remote_timeout)
+            .filter(|dc_contact| dc_contact.age < self.rules.remote_timeout)
             .collect()
     }
 }
